--- a/dockmux/edict/ask.py
+++ b/dockmux/cli/ask.py
@@ -6,8 +6,8 @@
 
 import urllib3.exceptions
 
-from dockmux.accord.host import Host
-from dockmux.accord.web import fetch
+from dockmux.runtime.host import Host
+from dockmux.runtime.web import fetch
 
 ASK_LIMIT = timedelta(seconds=8)
 
--- a/dockmux/edict/objects.py
+++ b/dockmux/cli/objects.py
@@ -5,7 +5,7 @@
 
 import yaml
 
-from dockmux.accord import schemas
+from dockmux.runtime import schemas
 
 # Where each kind's spec goes in the tree; Defaults is there once and needs no name.
 PLACES = {"Defaults": "defaults", "Site": "sites", "Service": "services", "Lane": "lanes"}
--- a/dockmux/edict/program.py
+++ b/dockmux/cli/program.py
@@ -9,10 +9,10 @@
 from pathlib import Path
 from typing import Any
 
-from dockmux.accord.host import Host
-from dockmux.accord.kinds import ANSWERS, Kind
-from dockmux.edict.ask import Cores, Unreached
-from dockmux.edict.objects import GOOD, BadObjects, is_objects, read
+from dockmux.cli.ask import Cores, Unreached
+from dockmux.cli.objects import GOOD, BadObjects, is_objects, read
+from dockmux.runtime.host import Host
+from dockmux.runtime.kinds import ANSWERS, Kind
 
 EXITS = """exit codes:
   0  done
@@ -244,7 +244,7 @@
 
 
 def test_operators_commands_against_a_fleet(snapshot, tmp_path):
-    from dockmux.omen.exchanges import serving
+    from dockmux.simulator.exchanges import serving
 
     told = []
     with serving() as made:
--- a/dockmux/clock/clock.py
+++ b/dockmux/clock/clock.py
@@ -3,9 +3,9 @@
 import dataclasses
 from datetime import UTC, datetime, timedelta
 
-from dockmux.accord.host import Host
-from dockmux.accord.settings_type import Settings
-from dockmux.accord.span import UNBOUNDED, ZERO, us
+from dockmux.runtime.host import Host
+from dockmux.runtime.settings_type import Settings
+from dockmux.runtime.span import UNBOUNDED, ZERO, us
 
 HOPS_UNKNOWN = 1_000_000
 SETTLE_PPM = 50
--- a/dockmux/clock/gossip.py
+++ b/dockmux/clock/gossip.py
@@ -5,16 +5,16 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.accord import codec
-from dockmux.accord.catalogue import Note
-from dockmux.accord.frames import FrameError, pack, unpack
-from dockmux.accord.host import Host
-from dockmux.accord.settings_type import Settings
-from dockmux.accord.span import UNBOUNDED, ZERO, from_instant_us, instant_us, ms, to_ms, to_us, us
-from dockmux.accord.types import ClockAsk, ClockReply, Moving, PeerCard, UsageSummary, WorkSummary
 from dockmux.clock.clock import Clock, Sample
 from dockmux.clock.peers import Peers
 from dockmux.clock.rate import ONE_CYCLE, Rate
+from dockmux.runtime import codec
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.frames import FrameError, pack, unpack
+from dockmux.runtime.host import Host
+from dockmux.runtime.settings_type import Settings
+from dockmux.runtime.span import UNBOUNDED, ZERO, from_instant_us, instant_us, ms, to_ms, to_us, us
+from dockmux.runtime.types import ClockAsk, ClockReply, Moving, PeerCard, UsageSummary, WorkSummary
 
 REPLY_LIMIT = timedelta(seconds=1)
 BLANK_FOR = timedelta(seconds=1)
--- a/dockmux/clock/peers.py
+++ b/dockmux/clock/peers.py
@@ -5,10 +5,10 @@
 import random
 from datetime import timedelta
 
-from dockmux.accord.host import Host
-from dockmux.accord.settings_type import Settings
-from dockmux.accord.span import ms, to_ms
-from dockmux.accord.types import PeerCard
+from dockmux.runtime.host import Host
+from dockmux.runtime.settings_type import Settings
+from dockmux.runtime.span import ms, to_ms
+from dockmux.runtime.types import PeerCard
 
 SHARE_COUNT = 6
 LOST_KEPT = timedelta(minutes=10)
--- a/dockmux/clock/rate.py
+++ b/dockmux/clock/rate.py
@@ -3,8 +3,8 @@
 from collections import deque
 from datetime import timedelta
 
-from dockmux.accord.settings_type import Settings
-from dockmux.accord.span import ms
+from dockmux.runtime.settings_type import Settings
+from dockmux.runtime.span import ms
 
 ONE_CYCLE = timedelta(seconds=1)
 
--- a/dockmux/control/chain_replica.py
+++ b/dockmux/control/chain_replica.py
@@ -6,14 +6,20 @@
 
 from eventlet.event import Event
 
-from dockmux.accord.bell import Bell
-from dockmux.accord.catalogue import Note
-from dockmux.accord.host import Host, within
-from dockmux.accord.kinds import Kind, Outcome
-from dockmux.accord.record_log import Unsure
-from dockmux.accord.settings_type import Settings
-from dockmux.accord.span import ZERO, instant_us, ms, to_us, us
-from dockmux.accord.types import (
+from dockmux.clock.gossip import Gossip
+from dockmux.control.replica_store import ReplicaStore
+from dockmux.control.sessions import Sessions, Shared
+from dockmux.control.state import State
+from dockmux.control.version_check import judge_version
+from dockmux.control.view_agreement import ViewAgreement
+from dockmux.runtime.bell import Bell
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.host import Host, within
+from dockmux.runtime.kinds import Kind, Outcome
+from dockmux.runtime.record_log import Unsure
+from dockmux.runtime.settings_type import Settings
+from dockmux.runtime.span import ZERO, instant_us, ms, to_us, us
+from dockmux.runtime.types import (
     Append,
     Appended,
     ConfirmAsk,
@@ -22,13 +28,7 @@
     WriteAsk,
     WriteReply,
 )  # fmt: skip
-from dockmux.accord.wire import Caller
-from dockmux.clock.gossip import Gossip
-from dockmux.control.replica_store import ReplicaStore
-from dockmux.control.sessions import Sessions, Shared
-from dockmux.control.state import State
-from dockmux.control.version_check import judge_version
-from dockmux.control.view_agreement import ViewAgreement
+from dockmux.runtime.wire import Caller
 
 WRITE_LIMIT = timedelta(seconds=4)
 PUSH_LIMIT = timedelta(seconds=2)
--- a/dockmux/control/core.py
+++ b/dockmux/control/core.py
@@ -7,16 +7,24 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.accord import metrics, schemas
-from dockmux.accord.catalogue import Note
-from dockmux.accord.crew import Crew
-from dockmux.accord.host import Host
-from dockmux.accord.kinds import Kind, Outcome
-from dockmux.accord.links import Links
-from dockmux.accord.settings_type import Settings
-from dockmux.accord.span import instant_us, ms, to_ms
-from dockmux.accord.tree import explain, judge
-from dockmux.accord.types import (
+from dockmux.clock.gossip import Gossip
+from dockmux.clock.peers import Peers, members_digest
+from dockmux.control.chain_replica import ChainReplica
+from dockmux.control.engine_scheduler import EngineScheduler
+from dockmux.control.joining import Joining
+from dockmux.control.replica_store import ReplicaStore
+from dockmux.control.view_agreement import ViewAgreement
+from dockmux.gossip.spread import Spread
+from dockmux.runtime import metrics, schemas
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.crew import Crew
+from dockmux.runtime.host import Host
+from dockmux.runtime.kinds import Kind, Outcome
+from dockmux.runtime.links import Links
+from dockmux.runtime.settings_type import Settings
+from dockmux.runtime.span import instant_us, ms, to_ms
+from dockmux.runtime.tree import explain, judge
+from dockmux.runtime.types import (
     AcceptAsk,
     Append,
     ConfirmAsk,
@@ -30,16 +38,8 @@
     ViewNews,
     WriteAsk,
 )  # fmt: skip
-from dockmux.accord.web import Visit, serve
-from dockmux.accord.wire import Caller, Desk
-from dockmux.clock.gossip import Gossip
-from dockmux.clock.peers import Peers, members_digest
-from dockmux.control.chain_replica import ChainReplica
-from dockmux.control.engine_scheduler import EngineScheduler
-from dockmux.control.joining import Joining
-from dockmux.control.replica_store import ReplicaStore
-from dockmux.control.view_agreement import ViewAgreement
-from dockmux.gossip.spread import Spread
+from dockmux.runtime.web import Visit, serve
+from dockmux.runtime.wire import Caller, Desk
 
 JOIN_PATIENCE = timedelta(seconds=3)
 HOLD_LIMIT = timedelta(seconds=1)
--- a/dockmux/control/engine_scheduler.py
+++ b/dockmux/control/engine_scheduler.py
@@ -7,13 +7,13 @@
 
 import urllib3.exceptions
 
-from dockmux.accord.catalogue import Note
-from dockmux.accord.host import Host, within
-from dockmux.accord.kinds import Kind
-from dockmux.accord.links import Links
-from dockmux.accord.span import ZERO, to_us
 from dockmux.control.view_agreement import ViewAgreement
 from dockmux.gossip.usage import FRESH
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.host import Host, within
+from dockmux.runtime.kinds import Kind
+from dockmux.runtime.links import Links
+from dockmux.runtime.span import ZERO, to_us
 
 TICK = timedelta(milliseconds=500)
 # How long after the former permit's end nobody commands an engine (rule 11).
--- a/dockmux/control/joining.py
+++ b/dockmux/control/joining.py
@@ -4,14 +4,14 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.accord.catalogue import Note
-from dockmux.accord.host import Host
-from dockmux.accord.types import JoinAsk, JoinReply
-from dockmux.accord.wire import Caller
 from dockmux.control.chain_replica import BATCH_MOST, ChainReplica
 from dockmux.control.replica_store import ReplicaStore
 from dockmux.control.state import Snapshot, State
 from dockmux.control.view_agreement import ViewAgreement
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.host import Host
+from dockmux.runtime.types import JoinAsk, JoinReply
+from dockmux.runtime.wire import Caller
 
 JOIN_PAUSE = timedelta(milliseconds=100)
 JOIN_LIMIT = timedelta(seconds=1)
--- a/dockmux/control/program.py
+++ b/dockmux/control/program.py
@@ -3,10 +3,10 @@
 import argparse
 import sys
 
-from dockmux.accord.daemon import run
-from dockmux.accord.host import Host
-from dockmux.accord.settings import read_or_exit
 from dockmux.control.core import Core
+from dockmux.runtime.daemon import run
+from dockmux.runtime.host import Host
+from dockmux.runtime.settings import read_or_exit
 
 
 def main(argv: list[str] | None = None) -> int:
--- a/dockmux/control/replica_store.py
+++ b/dockmux/control/replica_store.py
@@ -4,12 +4,12 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.accord import codec
-from dockmux.accord.catalogue import Note
-from dockmux.accord.host import Folder, Host
-from dockmux.accord.record_log import RecordLog, RecordLogDamaged
-from dockmux.accord.types import Entry, View
 from dockmux.control.state import State
+from dockmux.runtime import codec
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.host import Folder, Host
+from dockmux.runtime.record_log import RecordLog, RecordLogDamaged
+from dockmux.runtime.types import Entry, View
 
 REWRITE_FROM_BYTES = 4 * 1024 * 1024
 
--- a/dockmux/control/sessions.py
+++ b/dockmux/control/sessions.py
@@ -3,9 +3,9 @@
 import dataclasses
 from datetime import timedelta
 
-from dockmux.accord.host import Host
-from dockmux.accord.span import UNBOUNDED, ZERO, ms
-from dockmux.accord.types import PeerCard
+from dockmux.runtime.host import Host
+from dockmux.runtime.span import UNBOUNDED, ZERO, ms
+from dockmux.runtime.types import PeerCard
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
--- a/dockmux/control/version_check.py
+++ b/dockmux/control/version_check.py
@@ -2,10 +2,10 @@
 
 from typing import Any
 
-from dockmux.accord.kinds import Kind, Outcome
-from dockmux.accord.span import instant_us
 from dockmux.control.state import State
 from dockmux.control.version_log import digest_of
+from dockmux.runtime.kinds import Kind, Outcome
+from dockmux.runtime.span import instant_us
 
 
 def judge_version(*, change: dict[str, Any], planned: State) -> Outcome | None:
--- a/dockmux/control/view_agreement.py
+++ b/dockmux/control/view_agreement.py
@@ -7,14 +7,16 @@
 
 from eventlet.semaphore import Semaphore
 
-from dockmux.accord import codec
-from dockmux.accord.bell import Bell
-from dockmux.accord.catalogue import Note
-from dockmux.accord.crew import Crew
-from dockmux.accord.host import Host
-from dockmux.accord.settings_type import Settings
-from dockmux.accord.span import ZERO, ms, to_ms
-from dockmux.accord.types import (
+from dockmux.clock.peers import Peers
+from dockmux.control.replica_store import ReplicaStore
+from dockmux.runtime import codec
+from dockmux.runtime.bell import Bell
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.crew import Crew
+from dockmux.runtime.host import Host
+from dockmux.runtime.settings_type import Settings
+from dockmux.runtime.span import ZERO, ms, to_ms
+from dockmux.runtime.types import (
     AcceptAsk,
     FoundAsk,
     GrantAsk,
@@ -24,9 +26,7 @@
     ViewNews,
     VoteReply,
 )  # fmt: skip
-from dockmux.accord.wire import Caller
-from dockmux.clock.peers import Peers
-from dockmux.control.replica_store import ReplicaStore
+from dockmux.runtime.wire import Caller
 
 DRIFT_MARGIN = 1.02
 
--- a/dockmux/guise/engine.py
+++ b/dockmux/engine_emulator/engine.py
@@ -10,11 +10,11 @@
 
 from eventlet.semaphore import Semaphore
 
-from dockmux.accord.crew import Crew
-from dockmux.accord.host import Host, within
-from dockmux.accord.span import ms, to_us
-from dockmux.accord.web import Visit, fetch, serve
-from dockmux.guise import model
+from dockmux.engine_emulator import model
+from dockmux.runtime.crew import Crew
+from dockmux.runtime.host import Host, within
+from dockmux.runtime.span import ms, to_us
+from dockmux.runtime.web import Visit, fetch, serve
 
 MEMORY_MOST = 2000
 PREFIXES_MOST = 64
--- a/dockmux/guise/program.py
+++ b/dockmux/engine_emulator/program.py
@@ -3,10 +3,10 @@
 import argparse
 import sys
 
-from dockmux.accord.daemon import run
-from dockmux.accord.host import Host
-from dockmux.accord.settings import check
-from dockmux.guise.engine import Engine, Speed
+from dockmux.engine_emulator.engine import Engine, Speed
+from dockmux.runtime.daemon import run
+from dockmux.runtime.host import Host
+from dockmux.runtime.settings import check
 
 
 def main(argv: list[str] | None = None) -> int:
--- a/dockmux/gossip/spread.py
+++ b/dockmux/gossip/spread.py
@@ -5,14 +5,14 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.accord.catalogue import Note
-from dockmux.accord.crew import Crew
-from dockmux.accord.host import Host, within
-from dockmux.accord.settings_type import Settings
-from dockmux.accord.span import ZERO, ms
-from dockmux.accord.types import EngineUsage, UsageSummary
 from dockmux.clock.gossip import Gossip
 from dockmux.gossip.usage import UsageTable, watchers
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.crew import Crew
+from dockmux.runtime.host import Host, within
+from dockmux.runtime.settings_type import Settings
+from dockmux.runtime.span import ZERO, ms
+from dockmux.runtime.types import EngineUsage, UsageSummary
 
 LOOK_LIMIT = timedelta(milliseconds=600)
 SPREAD_TO = 3
--- a/dockmux/gossip/usage.py
+++ b/dockmux/gossip/usage.py
@@ -4,9 +4,9 @@
 import hashlib
 from datetime import timedelta
 
-from dockmux.accord.host import Host
-from dockmux.accord.span import ms, to_ms
-from dockmux.accord.types import EngineUsage, UsageSummary
+from dockmux.runtime.host import Host
+from dockmux.runtime.span import ms, to_ms
+from dockmux.runtime.types import EngineUsage, UsageSummary
 
 FRESH = timedelta(seconds=2)
 WATCHERS = 2
--- a/dockmux/surge/agent.py
+++ b/dockmux/load_generator/agent.py
@@ -8,8 +8,8 @@
 
 import urllib3.exceptions
 
-from dockmux.accord.host import Host, within
-from dockmux.accord.web import HttpStream
+from dockmux.runtime.host import Host, within
+from dockmux.runtime.web import HttpStream
 
 CONNECT_LIMIT = timedelta(seconds=2)
 OVERTIME = timedelta(seconds=3)
--- a/dockmux/surge/crowd.py
+++ b/dockmux/load_generator/crowd.py
@@ -6,13 +6,13 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.accord.crew import Crew
-from dockmux.accord.host import Host
-from dockmux.accord.span import ms
-from dockmux.accord.tree import resolve
-from dockmux.guise import model
-from dockmux.stage.plan import Plan
-from dockmux.surge.agent import Ask, Seen, send
+from dockmux.engine_emulator import model
+from dockmux.load_generator.agent import Ask, Seen, send
+from dockmux.local_fleet.plan import Plan
+from dockmux.runtime.crew import Crew
+from dockmux.runtime.host import Host
+from dockmux.runtime.span import ms
+from dockmux.runtime.tree import resolve
 
 LETTERS = "abcdefghijklmnopqrstuvwxyz     "
 
--- a/dockmux/surge/program.py
+++ b/dockmux/load_generator/program.py
@@ -5,10 +5,10 @@
 import sys
 from datetime import timedelta
 
-from dockmux.accord.host import Host
-from dockmux.stage.plan import load
-from dockmux.surge.crowd import Crowd
-from dockmux.surge.report import lines, summarize
+from dockmux.load_generator.crowd import Crowd
+from dockmux.load_generator.report import lines, summarize
+from dockmux.local_fleet.plan import load
+from dockmux.runtime.host import Host
 
 
 def main(argv: list[str] | None = None) -> int:
--- a/dockmux/surge/report.py
+++ b/dockmux/load_generator/report.py
@@ -4,8 +4,8 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.accord.span import ms
-from dockmux.surge.agent import Seen
+from dockmux.load_generator.agent import Seen
+from dockmux.runtime.span import ms
 
 
 def quantiles(*, spans: list[timedelta]) -> dict[str, int]:
--- a/dockmux/stage/drill.py
+++ b/dockmux/local_fleet/drill.py
@@ -7,15 +7,15 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.accord.crew import Crew
-from dockmux.accord.host import Host
-from dockmux.accord.span import ms
-from dockmux.omen import checks
-from dockmux.omen.truth import Row, Told, Truth
-from dockmux.stage.fleet import Fleet
-from dockmux.stage.plan import Plan
-from dockmux.surge.crowd import Crowd
-from dockmux.surge.report import summarize
+from dockmux.load_generator.crowd import Crowd
+from dockmux.load_generator.report import summarize
+from dockmux.local_fleet.fleet import Fleet
+from dockmux.local_fleet.plan import Plan
+from dockmux.runtime.crew import Crew
+from dockmux.runtime.host import Host
+from dockmux.runtime.span import ms
+from dockmux.simulator import checks
+from dockmux.simulator.truth import Row, Told, Truth
 
 SECOND = timedelta(seconds=1)
 QUIET = 14 * SECOND
@@ -203,7 +203,7 @@
 
 
 def test_real_processes_serve_through_a_kill_and_stop_in_order(tmp_path):
-    from dockmux.stage.plan import load
+    from dockmux.local_fleet.plan import load
 
     host = Host(name="drill")
     plan = load(path="fleets/mini.yaml")
@@ -220,7 +220,7 @@
     flags = ["--name", "a", "--site", "s", "--address", "127.0.0.1:1", "--http", "127.0.0.1:2"]
     flags += ["--seeds", "127.0.0.1:3", "--permitMs", "1"]
     told = subprocess.run(
-        [sys.executable, "-m", "dockmux.verge.program", *flags],
+        [sys.executable, "-m", "dockmux.native_proxy.program", *flags],
         capture_output=True,
         text=True,
         timeout=60,
--- a/dockmux/stage/fleet.py
+++ b/dockmux/local_fleet/fleet.py
@@ -11,10 +11,10 @@
 import urllib3.exceptions
 from eventlet.green import subprocess
 
-from dockmux.accord.host import Host
-from dockmux.accord.span import ms
-from dockmux.accord.web import fetch
-from dockmux.stage.plan import Plan
+from dockmux.local_fleet.plan import Plan
+from dockmux.runtime.host import Host
+from dockmux.runtime.span import ms
+from dockmux.runtime.web import fetch
 
 ASK_LIMIT = timedelta(seconds=3)
 READY_LIMIT = timedelta(seconds=60)
@@ -67,7 +67,7 @@
         fields = self.plan.daemon_settings(daemon=daemon, data_folder=data_folder)
         path = self.folder / f"{name}.json"
         path.write_text(json.dumps(fields, indent=1) + "\n")
-        module = "dockmux.control.program" if is_core else "dockmux.verge.program"
+        module = "dockmux.control.program" if is_core else "dockmux.native_proxy.program"
         self._start(name=name, module=module, flags=["--settings", str(path)])
 
     def start_engine(self, *, engine: dict[str, Any]) -> None:
@@ -75,7 +75,7 @@
         flags += ["--phase", engine["phase"], "--record", str(self.folder / f"{engine['engine']}.history")]
         for key, value in self.plan.speed.items():
             flags += ["--" + key.replace("_", "-"), str(value)]
-        self._start(name=engine["engine"], module="dockmux.guise.program", flags=flags)
+        self._start(name=engine["engine"], module="dockmux.engine_emulator.program", flags=flags)
 
     def up(self) -> None:
         for engine in self.plan.engines:
--- a/dockmux/stage/program.py
+++ b/dockmux/local_fleet/program.py
@@ -5,10 +5,10 @@
 import sys
 from datetime import timedelta
 
-from dockmux.accord.host import Host
-from dockmux.stage.drill import KINDS, drill
-from dockmux.stage.fleet import Fleet
-from dockmux.stage.plan import Plan, load
+from dockmux.local_fleet.drill import KINDS, drill
+from dockmux.local_fleet.fleet import Fleet
+from dockmux.local_fleet.plan import Plan, load
+from dockmux.runtime.host import Host
 
 
 def main(argv: list[str] | None = None) -> int:
--- a/dockmux/verge/budget.py
+++ b/dockmux/native_proxy/budget.py
@@ -4,7 +4,7 @@
 from collections import deque
 from datetime import timedelta
 
-from dockmux.accord.journal import Journal, View
+from dockmux.runtime.journal import Journal, View
 
 WINDOW = timedelta(seconds=10)
 
--- a/dockmux/verge/edge.py
+++ b/dockmux/native_proxy/edge.py
@@ -9,26 +9,26 @@
 
 import urllib3.exceptions
 
-from dockmux.accord import metrics, schemas
-from dockmux.accord.catalogue import Note
-from dockmux.accord.config import Config
-from dockmux.accord.crew import Crew
-from dockmux.accord.host import Host
-from dockmux.accord.kinds import Kind, Outcome
-from dockmux.accord.links import Links
-from dockmux.accord.settings_type import Settings
-from dockmux.accord.span import ms
-from dockmux.accord.tree import resolve
-from dockmux.accord.types import NewsAsk, PeerCard
-from dockmux.accord.web import HttpStream, Visit, serve
-from dockmux.accord.wire import Caller, Desk
 from dockmux.clock.gossip import Gossip
 from dockmux.clock.peers import Peers
 from dockmux.gossip.spread import Spread
-from dockmux.verge.follower import Follower
-from dockmux.verge.record import Record, Step, not_refused
-from dockmux.verge.stages import BUCKETS
-from dockmux.verge.table import Table
+from dockmux.native_proxy.follower import Follower
+from dockmux.native_proxy.record import Record, Step, not_refused
+from dockmux.native_proxy.stages import BUCKETS
+from dockmux.native_proxy.table import Table
+from dockmux.runtime import metrics, schemas
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.config import Config
+from dockmux.runtime.crew import Crew
+from dockmux.runtime.host import Host
+from dockmux.runtime.kinds import Kind, Outcome
+from dockmux.runtime.links import Links
+from dockmux.runtime.settings_type import Settings
+from dockmux.runtime.span import ms
+from dockmux.runtime.tree import resolve
+from dockmux.runtime.types import NewsAsk, PeerCard
+from dockmux.runtime.web import HttpStream, Visit, serve
+from dockmux.runtime.wire import Caller, Desk
 
 IDENTITY = re.compile(r"^[A-Za-z0-9._:-]{1,128}$")
 # While a stream has nothing to give, so often it is looked whether its user agent is still there.
--- a/dockmux/verge/follower.py
+++ b/dockmux/native_proxy/follower.py
@@ -3,14 +3,14 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.accord.catalogue import Note
-from dockmux.accord.config import CONFIGS_KEPT, Config, config_from
-from dockmux.accord.host import Host
-from dockmux.accord.settings_type import Settings
-from dockmux.accord.span import UNBOUNDED, ZERO, ms, to_ms
-from dockmux.accord.types import NewsAsk, NewsReply
-from dockmux.accord.wire import Caller
 from dockmux.clock.gossip import Gossip
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.config import CONFIGS_KEPT, Config, config_from
+from dockmux.runtime.host import Host
+from dockmux.runtime.settings_type import Settings
+from dockmux.runtime.span import UNBOUNDED, ZERO, ms, to_ms
+from dockmux.runtime.types import NewsAsk, NewsReply
+from dockmux.runtime.wire import Caller
 
 HOLD_MS = 150
 ASK_LIMIT = timedelta(milliseconds=500)
--- a/dockmux/verge/legs.py
+++ b/dockmux/native_proxy/legs.py
@@ -6,12 +6,12 @@
 
 import urllib3.exceptions
 
-from dockmux.accord.host import Host, within
-from dockmux.accord.links import Links
-from dockmux.accord.span import ZERO, instant_us, to_ms, to_us
 from dockmux.clock.clock import Clock
-from dockmux.verge.follower import Follower
-from dockmux.verge.record import Record
+from dockmux.native_proxy.follower import Follower
+from dockmux.native_proxy.record import Record
+from dockmux.runtime.host import Host, within
+from dockmux.runtime.links import Links
+from dockmux.runtime.span import ZERO, instant_us, to_ms, to_us
 
 PIECES_MOST = 10_000
 LINE_MOST_BYTES = 65_536
--- a/dockmux/verge/pace.py
+++ b/dockmux/native_proxy/pace.py
@@ -4,8 +4,8 @@
 from collections import deque
 from datetime import timedelta
 
-from dockmux.accord.journal import Journal, View
-from dockmux.accord.span import ms
+from dockmux.runtime.journal import Journal, View
+from dockmux.runtime.span import ms
 
 WINDOW = timedelta(seconds=3)
 # While little has been seen, a daemon takes itself to manage this many a second.
--- a/dockmux/verge/program.py
+++ b/dockmux/native_proxy/program.py
@@ -3,10 +3,10 @@
 import argparse
 import sys
 
-from dockmux.accord.daemon import run
-from dockmux.accord.host import Host
-from dockmux.accord.settings import read_or_exit
-from dockmux.verge.edge import Edge
+from dockmux.native_proxy.edge import Edge
+from dockmux.runtime.daemon import run
+from dockmux.runtime.host import Host
+from dockmux.runtime.settings import read_or_exit
 
 
 def main(argv: list[str] | None = None) -> int:
--- a/dockmux/verge/record.py
+++ b/dockmux/native_proxy/record.py
@@ -6,8 +6,8 @@
 from enum import StrEnum
 from typing import Any
 
-from dockmux.accord.bell import Bell
-from dockmux.accord.kinds import Kind, Outcome
+from dockmux.runtime.bell import Bell
+from dockmux.runtime.kinds import Kind, Outcome
 
 STAGES = ("claim", "wait_read", "read", "wait_write", "hand_over", "write")
 
--- a/dockmux/verge/stages.py
+++ b/dockmux/native_proxy/stages.py
@@ -3,9 +3,9 @@
 from collections import deque
 from datetime import timedelta
 
-from dockmux.accord.journal import Journal, View
-from dockmux.accord.span import ms
-from dockmux.verge.pace import Written
+from dockmux.native_proxy.pace import Written
+from dockmux.runtime.journal import Journal, View
+from dockmux.runtime.span import ms
 
 # Upper ends of the histogram's buckets.
 BUCKETS = [ms(count) for count in (1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10000)]
--- a/dockmux/verge/table.py
+++ b/dockmux/native_proxy/table.py
@@ -3,27 +3,27 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.accord.bell import Bell
-from dockmux.accord.crew import Crew
-from dockmux.accord.host import Host
-from dockmux.accord.journal import Journal
-from dockmux.accord.kinds import Kind, Outcome
-from dockmux.accord.links import Links
-from dockmux.accord.settings_type import Settings
-from dockmux.accord.span import ms
-from dockmux.accord.tree import extra_percent, resolve
-from dockmux.accord.types import WriteAsk, WriteReply
-from dockmux.accord.wire import Caller
 from dockmux.clock.gossip import Gossip
 from dockmux.gossip.spread import Spread
-from dockmux.verge.assign import Offer, assign
-from dockmux.verge.budget import Budget, Sent
-from dockmux.verge.follower import Follower
-from dockmux.verge.legs import Broken, Legs, MemoryLapsed, NotSent, Rejected
-from dockmux.verge.pace import Assigned, Pace, Written
-from dockmux.verge.record import Record, Step
-from dockmux.verge.stages import Stages
-from dockmux.verge.tally import Concluded, Tally
+from dockmux.native_proxy.assign import Offer, assign
+from dockmux.native_proxy.budget import Budget, Sent
+from dockmux.native_proxy.follower import Follower
+from dockmux.native_proxy.legs import Broken, Legs, MemoryLapsed, NotSent, Rejected
+from dockmux.native_proxy.pace import Assigned, Pace, Written
+from dockmux.native_proxy.record import Record, Step
+from dockmux.native_proxy.stages import Stages
+from dockmux.native_proxy.tally import Concluded, Tally
+from dockmux.runtime.bell import Bell
+from dockmux.runtime.crew import Crew
+from dockmux.runtime.host import Host
+from dockmux.runtime.journal import Journal
+from dockmux.runtime.kinds import Kind, Outcome
+from dockmux.runtime.links import Links
+from dockmux.runtime.settings_type import Settings
+from dockmux.runtime.span import ms
+from dockmux.runtime.tree import extra_percent, resolve
+from dockmux.runtime.types import WriteAsk, WriteReply
+from dockmux.runtime.wire import Caller
 
 CLAIM_LIMIT = timedelta(seconds=6)
 ENDED_KEPT = timedelta(minutes=10)
--- a/dockmux/verge/tally.py
+++ b/dockmux/native_proxy/tally.py
@@ -3,8 +3,8 @@
 import dataclasses
 from collections import Counter
 
-from dockmux.accord.journal import View
-from dockmux.accord.kinds import Kind
+from dockmux.runtime.journal import View
+from dockmux.runtime.kinds import Kind
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
--- a/dockmux/ferry/admission.py
+++ b/dockmux/platform_proxy/admission.py
@@ -7,9 +7,9 @@
 import dataclasses
 from datetime import timedelta
 
-from dockmux.accord.span import ZERO, ms
-from dockmux.ferry.placement import Pairing
-from dockmux.ferry.record import Record
+from dockmux.platform_proxy.placement import Pairing
+from dockmux.platform_proxy.record import Record
+from dockmux.runtime.span import ZERO, ms
 
 # What lies before a request may take so many times as long as is reckoned: what others send now is not known yet.
 MARGIN = 2.0
--- a/dockmux/ferry/budget.py
+++ b/dockmux/platform_proxy/budget.py
@@ -4,8 +4,8 @@
 from collections import defaultdict, deque
 from datetime import datetime, timedelta
 
-from dockmux.accord.span import EPOCH
-from dockmux.ferry.deployment import Deployment
+from dockmux.platform_proxy.deployment import Deployment
+from dockmux.runtime.span import EPOCH
 
 # A window of the rule is cut into so many of the clock's; a sum over the windows that a span can touch covers it.
 CUTS = 10
--- a/dockmux/ferry/calls.py
+++ b/dockmux/platform_proxy/calls.py
@@ -9,13 +9,13 @@
 import urllib3
 import urllib3.exceptions
 
-from dockmux.accord.catalogue import Note
-from dockmux.accord.host import Host, within
-from dockmux.accord.web import HttpStream
-from dockmux.ferry.connections import Connections, NoConnection
-from dockmux.ferry.dialect import Dialect, EngineEntry, Memory, Report, Told
-from dockmux.ferry.record import Record
-from dockmux.ferry.send_state import Broken, SendState, TurnedAway, Unsent
+from dockmux.platform_proxy.connections import Connections, NoConnection
+from dockmux.platform_proxy.dialect import Dialect, EngineEntry, Memory, Report, Told
+from dockmux.platform_proxy.record import Record
+from dockmux.platform_proxy.send_state import Broken, SendState, TurnedAway, Unsent
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.host import Host, within
+from dockmux.runtime.web import HttpStream
 
 SMALL_LIMIT = timedelta(milliseconds=800)
 PIECE_BYTES = 65536
--- a/dockmux/ferry/connections.py
+++ b/dockmux/platform_proxy/connections.py
@@ -6,8 +6,8 @@
 
 import urllib3.exceptions
 
-from dockmux.accord.host import Host, within
-from dockmux.accord.web import HttpStream
+from dockmux.runtime.host import Host, within
+from dockmux.runtime.web import HttpStream
 
 CONNECT_LIMIT = timedelta(milliseconds=600)
 # What was sent and is not received for so long is dropped by this machine: it must not arrive much later.
--- a/dockmux/ferry/course.py
+++ b/dockmux/platform_proxy/course.py
@@ -6,22 +6,22 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.accord.host import Host
-from dockmux.accord.kinds import Kind
-from dockmux.accord.span import ZERO
-from dockmux.accord.web import Visit
-from dockmux.ferry.admission import Admission
-from dockmux.ferry.budget import Budget
-from dockmux.ferry.calls import WIRE_ERRORS, Answer, Calls
-from dockmux.ferry.dialect import Dialect, EngineEntry, Memory
-from dockmux.ferry.directory import Directory
-from dockmux.ferry.placement import Pairing, Placement
-from dockmux.ferry.record import Record, note_left
-from dockmux.ferry.relay import Relay, Step
-from dockmux.ferry.routes import RunRule
-from dockmux.ferry.send_state import Broken, TurnedAway, Unsent
-from dockmux.ferry.verdicts import Verdicts
-from dockmux.ferry.work import Work
+from dockmux.platform_proxy.admission import Admission
+from dockmux.platform_proxy.budget import Budget
+from dockmux.platform_proxy.calls import WIRE_ERRORS, Answer, Calls
+from dockmux.platform_proxy.dialect import Dialect, EngineEntry, Memory
+from dockmux.platform_proxy.directory import Directory
+from dockmux.platform_proxy.placement import Pairing, Placement
+from dockmux.platform_proxy.record import Record, note_left
+from dockmux.platform_proxy.relay import Relay, Step
+from dockmux.platform_proxy.routes import RunRule
+from dockmux.platform_proxy.send_state import Broken, TurnedAway, Unsent
+from dockmux.platform_proxy.verdicts import Verdicts
+from dockmux.platform_proxy.work import Work
+from dockmux.runtime.host import Host
+from dockmux.runtime.kinds import Kind
+from dockmux.runtime.span import ZERO
+from dockmux.runtime.web import Visit
 
 # Before an engine is tried again that could not be reached for this request: so long at first, then twice as long.
 RETRY_PAUSE = timedelta(milliseconds=20)
--- a/dockmux/ferry/dialect.py
+++ b/dockmux/platform_proxy/dialect.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 from typing import Any, Protocol
 
-from dockmux.ferry.routes import RouteTable
+from dockmux.platform_proxy.routes import RouteTable
 
 Headers = Iterable[tuple[str, str]]
 
--- a/dockmux/ferry/directory.py
+++ b/dockmux/platform_proxy/directory.py
@@ -8,12 +8,12 @@
 
 import urllib3.exceptions
 
-from dockmux.accord.catalogue import Note
-from dockmux.accord.host import Host, within
-from dockmux.accord.span import UNBOUNDED
-from dockmux.accord.web import HttpStream
-from dockmux.ferry.deployment import Deployment
-from dockmux.ferry.dialect import Dialect, EngineEntry
+from dockmux.platform_proxy.deployment import Deployment
+from dockmux.platform_proxy.dialect import Dialect, EngineEntry
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.host import Host, within
+from dockmux.runtime.span import UNBOUNDED
+from dockmux.runtime.web import HttpStream
 
 # How old a copy may get before it is asked for anew, as a part of the time in which a leaving engine must be known.
 ASK_PART = 1 / 3
--- a/dockmux/ferry/edge.py
+++ b/dockmux/platform_proxy/edge.py
@@ -4,32 +4,32 @@
 from collections.abc import Iterable, Iterator
 from datetime import timedelta
 
-from dockmux.accord import metrics
-from dockmux.accord.catalogue import Note
-from dockmux.accord.crew import Crew
-from dockmux.accord.host import Host
-from dockmux.accord.kinds import Kind, Outcome
-from dockmux.accord.served_connections import HeadLimits, ServedConnections
-from dockmux.accord.settings_type import Settings
-from dockmux.accord.span import ZERO, ms, to_ms
-from dockmux.accord.types import DirectoryAsk, DirectoryReply, NewsAsk, PeerCard, WorkSummary
-from dockmux.accord.web import Visit, serve
-from dockmux.accord.wire import Caller, Desk
 from dockmux.clock.gossip import Gossip
 from dockmux.clock.peers import Peers
-from dockmux.ferry.budget import Budget
-from dockmux.ferry.calls import Calls
-from dockmux.ferry.connections import Connections
-from dockmux.ferry.course import Course
-from dockmux.ferry.deployment import Deployment
-from dockmux.ferry.dialect import Dialect, EngineEntry
-from dockmux.ferry.directory import Directory
-from dockmux.ferry.leaving import Leaving
-from dockmux.ferry.placement import Placement
-from dockmux.ferry.table import Table
-from dockmux.ferry.tracker import Tracker
-from dockmux.ferry.verdicts import Verdicts
-from dockmux.ferry.work import Work
+from dockmux.platform_proxy.budget import Budget
+from dockmux.platform_proxy.calls import Calls
+from dockmux.platform_proxy.connections import Connections
+from dockmux.platform_proxy.course import Course
+from dockmux.platform_proxy.deployment import Deployment
+from dockmux.platform_proxy.dialect import Dialect, EngineEntry
+from dockmux.platform_proxy.directory import Directory
+from dockmux.platform_proxy.leaving import Leaving
+from dockmux.platform_proxy.placement import Placement
+from dockmux.platform_proxy.table import Table
+from dockmux.platform_proxy.tracker import Tracker
+from dockmux.platform_proxy.verdicts import Verdicts
+from dockmux.platform_proxy.work import Work
+from dockmux.runtime import metrics
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.crew import Crew
+from dockmux.runtime.host import Host
+from dockmux.runtime.kinds import Kind, Outcome
+from dockmux.runtime.served_connections import HeadLimits, ServedConnections
+from dockmux.runtime.settings_type import Settings
+from dockmux.runtime.span import ZERO, ms, to_ms
+from dockmux.runtime.types import DirectoryAsk, DirectoryReply, NewsAsk, PeerCard, WorkSummary
+from dockmux.runtime.web import Visit, serve
+from dockmux.runtime.wire import Caller, Desk
 
 PASS = timedelta(milliseconds=50)
 TELL = timedelta(milliseconds=200)
--- a/dockmux/ferry/operator_api.py
+++ b/dockmux/platform_proxy/operator_api.py
@@ -3,10 +3,10 @@
 from collections.abc import Iterable
 from typing import Any
 
-from dockmux.accord.kinds import Kind, Outcome
-from dockmux.accord.web import Visit
-from dockmux.ferry.dialect import Dialect
-from dockmux.ferry.routes import BadConfig
+from dockmux.platform_proxy.dialect import Dialect
+from dockmux.platform_proxy.routes import BadConfig
+from dockmux.runtime.kinds import Kind, Outcome
+from dockmux.runtime.web import Visit
 
 
 class OperatorApi:
--- a/dockmux/ferry/phase_balancer.py
+++ b/dockmux/platform_proxy/phase_balancer.py
@@ -5,15 +5,15 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.accord.catalogue import Note
-from dockmux.accord.host import Host, within
-from dockmux.accord.span import ZERO, ms, to_ms
-from dockmux.accord.types import DirectoryAsk, Moving
-from dockmux.ferry.calls import WIRE_ERRORS
-from dockmux.ferry.connections import Connections
-from dockmux.ferry.deployment import Deployment
-from dockmux.ferry.dialect import Dialect, EngineEntry
-from dockmux.ferry.work import Work
+from dockmux.platform_proxy.calls import WIRE_ERRORS
+from dockmux.platform_proxy.connections import Connections
+from dockmux.platform_proxy.deployment import Deployment
+from dockmux.platform_proxy.dialect import Dialect, EngineEntry
+from dockmux.platform_proxy.work import Work
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.host import Host, within
+from dockmux.runtime.span import ZERO, ms, to_ms
+from dockmux.runtime.types import DirectoryAsk, Moving
 
 TICK = timedelta(milliseconds=250)
 # The daemons hear of a move so long before its order, so that what they send after has another engine.
--- a/dockmux/ferry/placement.py
+++ b/dockmux/platform_proxy/placement.py
@@ -5,10 +5,10 @@
 from collections import OrderedDict
 from datetime import timedelta
 
-from dockmux.accord.host import Host
-from dockmux.accord.span import ZERO, ms
-from dockmux.ferry.dialect import Ask, EngineEntry, Part
-from dockmux.ferry.work import Work
+from dockmux.platform_proxy.dialect import Ask, EngineEntry, Part
+from dockmux.platform_proxy.work import Work
+from dockmux.runtime.host import Host
+from dockmux.runtime.span import ZERO, ms
 
 # A writing engine reads between the tokens of others: half as fast.
 DIRECT_SLOWER = 2.0
--- a/dockmux/ferry/record.py
+++ b/dockmux/platform_proxy/record.py
@@ -5,11 +5,11 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.accord.host import Host
-from dockmux.accord.web import HttpStream
-from dockmux.ferry.dialect import Ask
-from dockmux.ferry.routes import Route
-from dockmux.ferry.send_state import SendState
+from dockmux.platform_proxy.dialect import Ask
+from dockmux.platform_proxy.routes import Route
+from dockmux.platform_proxy.send_state import SendState
+from dockmux.runtime.host import Host
+from dockmux.runtime.web import HttpStream
 
 
 @dataclasses.dataclass(kw_only=True)
--- a/dockmux/ferry/relay.py
+++ b/dockmux/platform_proxy/relay.py
@@ -3,10 +3,10 @@
 from collections.abc import Iterator
 from enum import StrEnum
 
-from dockmux.accord.web import Visit
-from dockmux.ferry.calls import Answer
-from dockmux.ferry.dialect import Dialect
-from dockmux.ferry.events import Events
+from dockmux.platform_proxy.calls import Answer
+from dockmux.platform_proxy.dialect import Dialect
+from dockmux.platform_proxy.events import Events
+from dockmux.runtime.web import Visit
 
 
 class Step(StrEnum):
--- a/dockmux/ferry/table.py
+++ b/dockmux/platform_proxy/table.py
@@ -3,20 +3,20 @@
 from collections.abc import Iterable, Iterator
 from datetime import timedelta
 
-from dockmux.accord.host import Host
-from dockmux.accord.journal import Journal
-from dockmux.accord.kinds import Kind, Outcome
-from dockmux.accord.span import ZERO, to_ms
-from dockmux.accord.web import Visit
-from dockmux.ferry.budget import Budget
-from dockmux.ferry.course import RETRY, Course, Ending
-from dockmux.ferry.dialect import Dialect
-from dockmux.ferry.directory import Directory
-from dockmux.ferry.leaving import Leaving
-from dockmux.ferry.record import Record, note_left
-from dockmux.ferry.tracker import Tracker
-from dockmux.ferry.verdicts import Verdicts
-from dockmux.verge.tally import Concluded, Tally
+from dockmux.native_proxy.tally import Concluded, Tally
+from dockmux.platform_proxy.budget import Budget
+from dockmux.platform_proxy.course import RETRY, Course, Ending
+from dockmux.platform_proxy.dialect import Dialect
+from dockmux.platform_proxy.directory import Directory
+from dockmux.platform_proxy.leaving import Leaving
+from dockmux.platform_proxy.record import Record, note_left
+from dockmux.platform_proxy.tracker import Tracker
+from dockmux.platform_proxy.verdicts import Verdicts
+from dockmux.runtime.host import Host
+from dockmux.runtime.journal import Journal
+from dockmux.runtime.kinds import Kind, Outcome
+from dockmux.runtime.span import ZERO, to_ms
+from dockmux.runtime.web import Visit
 
 HOLD_DEFAULT = timedelta(seconds=30)
 # A repeatable request is taken from an engine that others find failing once it has been silent for so long.
--- a/dockmux/ferry/tracker.py
+++ b/dockmux/platform_proxy/tracker.py
@@ -4,16 +4,16 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.accord.bell import Bell
-from dockmux.accord.catalogue import Note
-from dockmux.accord.config import Config, config_from
-from dockmux.accord.host import Host
-from dockmux.accord.span import ms
-from dockmux.accord.types import NewsAsk, NewsReply, PeerCard
-from dockmux.accord.wire import Caller
 from dockmux.clock.gossip import Gossip
-from dockmux.ferry.dialect import Dialect
-from dockmux.ferry.routes import RouteTable
+from dockmux.platform_proxy.dialect import Dialect
+from dockmux.platform_proxy.routes import RouteTable
+from dockmux.runtime.bell import Bell
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.config import Config, config_from
+from dockmux.runtime.host import Host
+from dockmux.runtime.span import ms
+from dockmux.runtime.types import NewsAsk, NewsReply, PeerCard
+from dockmux.runtime.wire import Caller
 
 HOLD_MS = 900
 ASK_LIMIT = timedelta(milliseconds=1400)
--- a/dockmux/ferry/verdicts.py
+++ b/dockmux/platform_proxy/verdicts.py
@@ -4,9 +4,9 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.accord.catalogue import Note
-from dockmux.accord.host import Host
-from dockmux.accord.span import ms, to_ms
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.host import Host
+from dockmux.runtime.span import ms, to_ms
 
 FIRST_WAIT = timedelta(milliseconds=800)
 LONGEST_WAIT = timedelta(seconds=3)
--- a/dockmux/ferry/work.py
+++ b/dockmux/platform_proxy/work.py
@@ -7,8 +7,8 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.accord.host import Host
-from dockmux.accord.span import ZERO, ms, to_ms
+from dockmux.runtime.host import Host
+from dockmux.runtime.span import ZERO, ms, to_ms
 
 TOLD_FOR = timedelta(seconds=3)
 
--- a/dockmux/accord/catalogue.py
+++ b/dockmux/runtime/catalogue.py
@@ -139,7 +139,7 @@
     lines = [
         "# Log events",
         "",
-        "Made from `dockmux/accord/catalogue.py`; each logged line begins with its number.",
+        "Made from `dockmux/runtime/catalogue.py`; each logged line begins with its number.",
         "",
     ]
     lines += ["| number | level | text | what to do |", "| --- | --- | --- | --- |"]
--- a/dockmux/accord/codec.py
+++ b/dockmux/runtime/codec.py
@@ -7,7 +7,7 @@
 from functools import cache
 from typing import Any
 
-from dockmux.accord import types
+from dockmux.runtime import types
 
 
 class Malformed(ValueError):
--- a/dockmux/accord/crew.py
+++ b/dockmux/runtime/crew.py
@@ -6,8 +6,8 @@
 
 from greenlet import GreenletExit
 
-from dockmux.accord.catalogue import Note
-from dockmux.accord.host import Host
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.host import Host
 
 AGAIN_WAIT = timedelta(milliseconds=200)
 
--- a/dockmux/accord/daemon.py
+++ b/dockmux/runtime/daemon.py
@@ -10,13 +10,13 @@
 
 from absl import flags, logging
 
-from dockmux.accord.catalogue import Note
-from dockmux.accord.file_calls import FILE_CALL_LIMIT, DiskSilent
-from dockmux.accord.host import LEVELS, Host
-from dockmux.accord.record_log import RecordLogDamaged
-from dockmux.accord.settings import BadSetting
-from dockmux.accord.settings_type import Settings
-from dockmux.accord.span import to_ms
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.file_calls import FILE_CALL_LIMIT, DiskSilent
+from dockmux.runtime.host import LEVELS, Host
+from dockmux.runtime.record_log import RecordLogDamaged
+from dockmux.runtime.settings import BadSetting
+from dockmux.runtime.settings_type import Settings
+from dockmux.runtime.span import to_ms
 
 EXIT_CANNOT_RUN = 1
 EXIT_DATA_DAMAGED = 3
--- a/dockmux/accord/generate.py
+++ b/dockmux/runtime/generate.py
@@ -4,7 +4,7 @@
 import sys
 from pathlib import Path
 
-from dockmux.accord import catalogue
+from dockmux.runtime import catalogue
 
 SCHEMA = Path(__file__).resolve().parent.parent / "schema"
 MADE = {"messages.yaml": "types.py", "settings.yaml": "settings_type.py"}
--- a/dockmux/accord/host.py
+++ b/dockmux/runtime/host.py
@@ -17,8 +17,8 @@
 from eventlet.greenio import GreenSocket
 from urllib3.util.wait import wait_for_read
 
-from dockmux.accord.catalogue import Note
-from dockmux.accord.file_calls import FileCalls
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.file_calls import FileCalls
 
 # Of a connection whose other side has closed or reset it, whatever is still to be read.
 POLL_CLOSED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
--- a/dockmux/accord/links.py
+++ b/dockmux/runtime/links.py
@@ -8,9 +8,9 @@
 
 import urllib3.exceptions
 
-from dockmux.accord.catalogue import Note
-from dockmux.accord.host import Host, within
-from dockmux.accord.web import HttpStream
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.host import Host, within
+from dockmux.runtime.web import HttpStream
 
 CONNECT_LIMIT = timedelta(milliseconds=800)
 # A leg that is held up on its way must not arrive when its configuration is no longer the current one (rule 8):
--- a/dockmux/accord/metrics.py
+++ b/dockmux/runtime/metrics.py
@@ -6,7 +6,7 @@
 from prometheus_client import CollectorRegistry, Gauge, generate_latest
 from prometheus_client.core import HistogramMetricFamily
 
-from dockmux.accord.web import Visit
+from dockmux.runtime.web import Visit
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
--- a/dockmux/accord/record_log.py
+++ b/dockmux/runtime/record_log.py
@@ -6,8 +6,8 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.accord.catalogue import Note
-from dockmux.accord.host import Folder, Host
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.host import Folder, Host
 
 HEAD_BYTES = 18
 # A line with this key alone holds several records.
--- a/dockmux/accord/served_connections.py
+++ b/dockmux/runtime/served_connections.py
@@ -10,7 +10,7 @@
 import eventlet
 from eventlet import wsgi
 
-from dockmux.accord.whole_lines import HeadTooLarge, WholeLines
+from dockmux.runtime.whole_lines import HeadTooLarge, WholeLines
 
 CONNECTION_KEY = "dockmux.connection"
 # The most that any configuration may allow for a request's head.
--- a/dockmux/accord/settings.py
+++ b/dockmux/runtime/settings.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 from typing import Any
 
-from dockmux.accord import codec, schemas
-from dockmux.accord.settings_type import LogLevel, Settings
+from dockmux.runtime import codec, schemas
+from dockmux.runtime.settings_type import LogLevel, Settings
 
 
 class BadSetting(Exception):
--- a/dockmux/accord/tree.py
+++ b/dockmux/runtime/tree.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from dockmux.accord import schemas
+from dockmux.runtime import schemas
 
 INHERITED = ("horizonMs", "urgency", "model", "adapter", "run")
 EXTRA_PERCENT = 10
--- a/dockmux/accord/web.py
+++ b/dockmux/runtime/web.py
@@ -17,12 +17,12 @@
 from eventlet import wsgi
 from greenlet import GreenletExit
 
-from dockmux.accord.catalogue import Note
-from dockmux.accord.crew import where
-from dockmux.accord.host import Host, split_address, within
-from dockmux.accord.kinds import Answer, Kind, Outcome
-from dockmux.accord.served_connections import CONNECTION_KEY, HEAD_BYTES_MOST, HttpConnection, ServedConnections
-from dockmux.accord.whole_lines import WholeLines
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.crew import where
+from dockmux.runtime.host import Host, split_address, within
+from dockmux.runtime.kinds import Answer, Kind, Outcome
+from dockmux.runtime.served_connections import CONNECTION_KEY, HEAD_BYTES_MOST, HttpConnection, ServedConnections
+from dockmux.runtime.whole_lines import WholeLines
 
 SEND_LIMIT = timedelta(seconds=10)
 IDLE_LIMIT = timedelta(seconds=60)
--- a/dockmux/accord/wire.py
+++ b/dockmux/runtime/wire.py
@@ -4,11 +4,11 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.accord import codec
-from dockmux.accord.catalogue import Note
-from dockmux.accord.crew import Crew
-from dockmux.accord.frames import FrameStream
-from dockmux.accord.host import Host, within
+from dockmux.runtime import codec
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.crew import Crew
+from dockmux.runtime.frames import FrameStream
+from dockmux.runtime.host import Host, within
 
 IDLE_LIMIT = 8
 
--- a/dockmux/gauge/fleet.py
+++ b/dockmux/scale_model/fleet.py
@@ -10,21 +10,21 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.accord import settings
-from dockmux.accord.host import within
-from dockmux.accord.span import ms
-from dockmux.accord.web import HttpStream, Visit, serve
 from dockmux.control.core import Core
-from dockmux.ferry.deployment import Deployment
-from dockmux.ferry.dialect import Dialect, EngineEntry
-from dockmux.ferry.edge import Edge
-from dockmux.ferry.operator_api import OperatorApi
-from dockmux.ferry.phase_balancer import PhaseBalancer
-from dockmux.ferry.routes import Limits, Route, RouteTable, RunRule, Service
-from dockmux.ferry.work import TOLD_FOR
-from dockmux.gauge.hollow import HollowEdge, run_load
-from dockmux.gauge.meter import Meter, MeteredHost, MeteredWorld, deep_size
-from dockmux.omen.world import SimHost
+from dockmux.platform_proxy.deployment import Deployment
+from dockmux.platform_proxy.dialect import Dialect, EngineEntry
+from dockmux.platform_proxy.edge import Edge
+from dockmux.platform_proxy.operator_api import OperatorApi
+from dockmux.platform_proxy.phase_balancer import PhaseBalancer
+from dockmux.platform_proxy.routes import Limits, Route, RouteTable, RunRule, Service
+from dockmux.platform_proxy.work import TOLD_FOR
+from dockmux.runtime import settings
+from dockmux.runtime.host import within
+from dockmux.runtime.span import ms
+from dockmux.runtime.web import HttpStream, Visit, serve
+from dockmux.scale_model.hollow import HollowEdge, run_load
+from dockmux.scale_model.meter import Meter, MeteredHost, MeteredWorld, deep_size
+from dockmux.simulator.world import SimHost
 
 PLATFORM = "10.9.0.1:9000"
 READING_PART = 0.24
--- a/dockmux/gauge/hollow.py
+++ b/dockmux/scale_model/hollow.py
@@ -3,10 +3,10 @@
 import dataclasses
 import random
 
-from dockmux.accord.host import Host
-from dockmux.accord.span import ms
-from dockmux.ferry.edge import Edge
-from dockmux.ferry.work import Load
+from dockmux.platform_proxy.edge import Edge
+from dockmux.platform_proxy.work import Load
+from dockmux.runtime.host import Host
+from dockmux.runtime.span import ms
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
--- a/dockmux/gauge/meter.py
+++ b/dockmux/scale_model/meter.py
@@ -14,10 +14,10 @@
 import eventlet
 from eventlet import hubs
 
-from dockmux.accord.host import split_address
-from dockmux.omen.hub import VirtualHub
-from dockmux.omen.stream import SimListener, SimStream
-from dockmux.omen.world import GRAVEYARD, SimDatagrams, SimHost, World
+from dockmux.runtime.host import split_address
+from dockmux.simulator.hub import VirtualHub
+from dockmux.simulator.stream import SimListener, SimStream
+from dockmux.simulator.world import GRAVEYARD, SimDatagrams, SimHost, World
 
 MESSAGE = re.compile(rb'\d+:\{"type":"(\w+)"')
 HTTP = "HTTP"
--- a/dockmux/gauge/program.py
+++ b/dockmux/scale_model/program.py
@@ -8,9 +8,9 @@
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-from dockmux.gauge.fleet import Size, measure
-from dockmux.gauge.recovery import EVENTS, recover
-from dockmux.gauge.slopes import listing, slopes, table
+from dockmux.scale_model.fleet import Size, measure
+from dockmux.scale_model.recovery import EVENTS, recover
+from dockmux.scale_model.slopes import listing, slopes, table
 
 
 def numbers(text: str) -> list[int]:
--- a/dockmux/gauge/recovery.py
+++ b/dockmux/scale_model/recovery.py
@@ -5,8 +5,8 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.accord.span import ms
-from dockmux.gauge.fleet import GaugeFleet, Size, fleet, uncollected
+from dockmux.runtime.span import ms
+from dockmux.scale_model.fleet import GaugeFleet, Size, fleet, uncollected
 
 EVENTS = ("zone", "region", "rolling")
 PUT_AGAIN = timedelta(milliseconds=100)
--- a/dockmux/omen/checks.py
+++ b/dockmux/simulator/checks.py
@@ -4,12 +4,12 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from dockmux.accord.config import CONFIGS_KEPT
-from dockmux.accord.kinds import ANSWERS, Kind
-from dockmux.accord.span import ms
-from dockmux.accord.tree import extra_percent, resolve
-from dockmux.omen.truth import Row, Told, Truth
-from dockmux.surge.agent import Seen
+from dockmux.load_generator.agent import Seen
+from dockmux.runtime.config import CONFIGS_KEPT
+from dockmux.runtime.kinds import ANSWERS, Kind
+from dockmux.runtime.span import ms
+from dockmux.runtime.tree import extra_percent, resolve
+from dockmux.simulator.truth import Row, Told, Truth
 
 SECOND = timedelta(seconds=1)
 RECOVERY = 12 * SECOND
--- a/dockmux/omen/day.py
+++ b/dockmux/simulator/day.py
@@ -7,15 +7,15 @@
 
 import eventlet
 
-from dockmux.accord.catalogue import Note
-from dockmux.accord.span import ms
-from dockmux.omen import checks
-from dockmux.omen.faults import FINAL_KINDS, Doer, Fault, draw, twins
-from dockmux.omen.fleet import SimFleet, fleet
-from dockmux.omen.probe import Probe
-from dockmux.omen.truth import Told, Truth, rows_of
-from dockmux.stage.plan import Plan, load
-from dockmux.surge.crowd import Crowd
+from dockmux.load_generator.crowd import Crowd
+from dockmux.local_fleet.plan import Plan, load
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.span import ms
+from dockmux.simulator import checks
+from dockmux.simulator.faults import FINAL_KINDS, Doer, Fault, draw, twins
+from dockmux.simulator.fleet import SimFleet, fleet
+from dockmux.simulator.probe import Probe
+from dockmux.simulator.truth import Told, Truth, rows_of
 
 SECOND = timedelta(seconds=1)
 LEAD_IN = 3 * SECOND
--- a/dockmux/omen/exchanges.py
+++ b/dockmux/simulator/exchanges.py
@@ -6,15 +6,15 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.accord.catalogue import Note
-from dockmux.accord.span import ms
-from dockmux.accord.types import View
-from dockmux.accord.web import HttpStream
-from dockmux.guise import model
-from dockmux.omen.fleet import SimFleet, fleet
-from dockmux.stage.plan import load
-from dockmux.surge.agent import Seen, send
-from dockmux.surge.crowd import Crowd
+from dockmux.engine_emulator import model
+from dockmux.load_generator.agent import Seen, send
+from dockmux.load_generator.crowd import Crowd
+from dockmux.local_fleet.plan import load
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.span import ms
+from dockmux.runtime.types import View
+from dockmux.runtime.web import HttpStream
+from dockmux.simulator.fleet import SimFleet, fleet
 
 SECOND = timedelta(seconds=1)
 SHOWN = ("Content-Type", "Retry-After", "Connection", "ETag", "Dockmux-Answer")
--- a/dockmux/omen/faults.py
+++ b/dockmux/simulator/faults.py
@@ -8,9 +8,9 @@
 
 import eventlet
 
-from dockmux.accord.span import ms
-from dockmux.omen.fleet import SimFleet
-from dockmux.omen.truth import Told
+from dockmux.runtime.span import ms
+from dockmux.simulator.fleet import SimFleet
+from dockmux.simulator.truth import Told
 
 SECOND = timedelta(seconds=1)
 
--- a/dockmux/omen/fleet.py
+++ b/dockmux/simulator/fleet.py
@@ -7,15 +7,15 @@
 
 import urllib3.exceptions
 
-from dockmux.accord import settings
-from dockmux.accord.catalogue import Note
-from dockmux.accord.span import ms
-from dockmux.accord.web import fetch
 from dockmux.control.core import Core
-from dockmux.guise.engine import Engine, Speed
-from dockmux.omen.world import SimHost, World
-from dockmux.stage.plan import Plan
-from dockmux.verge.edge import Edge
+from dockmux.engine_emulator.engine import Engine, Speed
+from dockmux.local_fleet.plan import Plan
+from dockmux.native_proxy.edge import Edge
+from dockmux.runtime import settings
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.span import ms
+from dockmux.runtime.web import fetch
+from dockmux.simulator.world import SimHost, World
 
 ASK_LIMIT = timedelta(seconds=8)
 
@@ -163,9 +163,9 @@
 
 def exchange(*, seed: int) -> list[str]:
     """One small fleet, one request: every logged line and every received line, with its true time."""
-    from dockmux.stage.plan import load
-    from dockmux.surge.agent import Seen, send
-    from dockmux.surge.crowd import Crowd
+    from dockmux.load_generator.agent import Seen, send
+    from dockmux.load_generator.crowd import Crowd
+    from dockmux.local_fleet.plan import load
 
     with fleet(plan=load(path="fleets/mini.yaml"), seed=seed) as made:
         made.begin()
--- a/dockmux/omen/probe.py
+++ b/dockmux/simulator/probe.py
@@ -5,8 +5,8 @@
 
 import eventlet
 
-from dockmux.omen.fleet import SimFleet
-from dockmux.omen.world import BEGIN
+from dockmux.simulator.fleet import SimFleet
+from dockmux.simulator.world import BEGIN
 
 TICK = timedelta(milliseconds=200)
 
@@ -67,8 +67,8 @@
 
 
 def test_a_clock_outside_its_bound_and_one_that_runs_back_are_found():
-    from dockmux.omen.fleet import fleet
-    from dockmux.stage.plan import load
+    from dockmux.local_fleet.plan import load
+    from dockmux.simulator.fleet import fleet
 
     with fleet(plan=load(path="fleets/mini.yaml"), seed=2) as made:
         probe = Probe(fleet=made)
--- a/dockmux/omen/program.py
+++ b/dockmux/simulator/program.py
@@ -6,10 +6,10 @@
 from concurrent.futures import ProcessPoolExecutor
 from datetime import timedelta
 
-from dockmux.omen import strain
-from dockmux.omen.day import Verdict, run_named, shorten
-from dockmux.omen.faults import KINDS
-from dockmux.omen.timing import measure
+from dockmux.simulator import strain
+from dockmux.simulator.day import Verdict, run_named, shorten
+from dockmux.simulator.faults import KINDS
+from dockmux.simulator.timing import measure
 
 
 def main(argv: list[str] | None = None) -> int:
--- a/dockmux/omen/rules.py
+++ b/dockmux/simulator/rules.py
@@ -11,34 +11,34 @@
 import eventlet
 import pytest
 
-from dockmux.accord.catalogue import Note
-from dockmux.accord.kinds import Kind, Outcome
-from dockmux.accord.links import Links
-from dockmux.accord.record_log import RecordLog, Unsure, parse
-from dockmux.accord.span import EPOCH, instant_us, ms
-from dockmux.accord.web import HttpStream
 from dockmux.clock.clock import Clock
 from dockmux.clock.gossip import Gossip
 from dockmux.control import engine_scheduler as scheduler
 from dockmux.control.chain_replica import ChainReplica
 from dockmux.control.engine_scheduler import Move
+from dockmux.engine_emulator.engine import Engine
 from dockmux.gossip.usage import UsageTable
-from dockmux.guise.engine import Engine
-from dockmux.omen import checks
-from dockmux.omen.faults import Doer
-from dockmux.omen.fleet import SimFleet, fleet
-from dockmux.omen.truth import Told, Truth, rows_of
-from dockmux.stage.plan import Plan, build
-from dockmux.surge.agent import Seen, send
-from dockmux.surge.crowd import Crowd
-from dockmux.verge import edge as edge_module
-from dockmux.verge import legs as legs_module
-from dockmux.verge import record as record_module
-from dockmux.verge.budget import Budget
-from dockmux.verge.follower import Follower
-from dockmux.verge.legs import Broken, Legs
-from dockmux.verge.record import Record, Step
-from dockmux.verge.table import Table
+from dockmux.load_generator.agent import Seen, send
+from dockmux.load_generator.crowd import Crowd
+from dockmux.local_fleet.plan import Plan, build
+from dockmux.native_proxy import edge as edge_module
+from dockmux.native_proxy import legs as legs_module
+from dockmux.native_proxy import record as record_module
+from dockmux.native_proxy.budget import Budget
+from dockmux.native_proxy.follower import Follower
+from dockmux.native_proxy.legs import Broken, Legs
+from dockmux.native_proxy.record import Record, Step
+from dockmux.native_proxy.table import Table
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.kinds import Kind, Outcome
+from dockmux.runtime.links import Links
+from dockmux.runtime.record_log import RecordLog, Unsure, parse
+from dockmux.runtime.span import EPOCH, instant_us, ms
+from dockmux.runtime.web import HttpStream
+from dockmux.simulator import checks
+from dockmux.simulator.faults import Doer
+from dockmux.simulator.fleet import SimFleet, fleet
+from dockmux.simulator.truth import Told, Truth, rows_of
 
 SECOND = timedelta(seconds=1)
 
--- a/dockmux/omen/strain.py
+++ b/dockmux/simulator/strain.py
@@ -6,10 +6,10 @@
 
 import eventlet
 
-from dockmux.omen.fleet import fleet
-from dockmux.stage.plan import load
-from dockmux.surge.crowd import Crowd
-from dockmux.surge.report import quantiles, summarize
+from dockmux.load_generator.crowd import Crowd
+from dockmux.load_generator.report import quantiles, summarize
+from dockmux.local_fleet.plan import load
+from dockmux.simulator.fleet import fleet
 
 SECOND = timedelta(seconds=1)
 
--- a/dockmux/omen/timing.py
+++ b/dockmux/simulator/timing.py
@@ -5,11 +5,11 @@
 
 import eventlet
 
-from dockmux.accord.catalogue import Note
-from dockmux.accord.span import ms, to_us
-from dockmux.omen.fleet import SimFleet, fleet
-from dockmux.omen.probe import Probe
-from dockmux.stage.plan import load
+from dockmux.local_fleet.plan import load
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.span import ms, to_us
+from dockmux.simulator.fleet import SimFleet, fleet
+from dockmux.simulator.probe import Probe
 
 SECOND = timedelta(seconds=1)
 
--- a/dockmux/omen/truth.py
+++ b/dockmux/simulator/truth.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.surge.agent import Seen
+from dockmux.load_generator.agent import Seen
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
--- a/dockmux/omen/world.py
+++ b/dockmux/simulator/world.py
@@ -12,12 +12,12 @@
 import eventlet
 from eventlet import hubs
 
-from dockmux.accord.catalogue import Note
-from dockmux.accord.file_calls import FileCalls
-from dockmux.accord.host import Host, split_address
-from dockmux.accord.span import ms, us
-from dockmux.omen.hub import VirtualHub
-from dockmux.omen.stream import SimListener, SimStream
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.file_calls import FileCalls
+from dockmux.runtime.host import Host, split_address
+from dockmux.runtime.span import ms, us
+from dockmux.simulator.hub import VirtualHub
+from dockmux.simulator.stream import SimListener, SimStream
 
 BEGIN = datetime(2026, 3, 1, 6, 0, tzinfo=UTC)
 # Ended places' tasks are kept for good: collecting one would run its `finally` blocks in another run.
--- a/tests/admission_test.py
+++ b/tests/admission_test.py
@@ -2,12 +2,12 @@
 
 from datetime import timedelta
 
-from dockmux.accord.span import ZERO, ms
-from dockmux.ferry.admission import MARGIN, Admission, StreamPace
-from dockmux.ferry.dialect import Ask, EngineEntry
-from dockmux.ferry.placement import Pairing
-from dockmux.ferry.record import Record
-from dockmux.ferry.routes import Route, RunRule
+from dockmux.platform_proxy.admission import MARGIN, Admission, StreamPace
+from dockmux.platform_proxy.dialect import Ask, EngineEntry
+from dockmux.platform_proxy.placement import Pairing
+from dockmux.platform_proxy.record import Record
+from dockmux.platform_proxy.routes import Route, RunRule
+from dockmux.runtime.span import ZERO, ms
 
 NOW = timedelta(seconds=100)
 SECOND = timedelta(seconds=1)
--- a/tests/answers_test.py
+++ b/tests/answers_test.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from dockmux.accord.span import ms
-from dockmux.ferry.calls import Calls
-from dockmux.ferry.course import Course
+from dockmux.platform_proxy.calls import Calls
+from dockmux.platform_proxy.course import Course
+from dockmux.runtime.span import ms
 from tests.standins.client import Seen
 from tests.standins.fleet import Fleet, fleet
 
--- a/tests/balance_test.py
+++ b/tests/balance_test.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from dockmux.ferry.phase_balancer import Pressure, choose_phase
+from dockmux.platform_proxy.phase_balancer import Pressure, choose_phase
 from tests.standins.fleet import fleet
 
 
--- a/tests/broken_pool_test.py
+++ b/tests/broken_pool_test.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from dockmux.accord.daemon import EXIT_DISK_SILENT
+from dockmux.runtime.daemon import EXIT_DISK_SILENT
 from tests.control.cores import text_of
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -26,7 +26,7 @@
 import datetime, signal
 import eventlet
 from eventlet import tpool
-from dockmux.accord import file_calls
+from dockmux.runtime import file_calls
 file_calls.FILE_CALL_LIMIT = datetime.timedelta(seconds={limit})
 import core
 if {breaks}:
--- a/tests/budget_memory_test.py
+++ b/tests/budget_memory_test.py
@@ -2,9 +2,9 @@
 
 from datetime import timedelta
 
-from dockmux.accord.span import ms
-from dockmux.ferry.budget import Budget
-from dockmux.ferry.deployment import Deployment
+from dockmux.platform_proxy.budget import Budget
+from dockmux.platform_proxy.deployment import Deployment
+from dockmux.runtime.span import ms
 
 
 def test_the_budget_forgets_old_requests():
--- a/tests/budget_test.py
+++ b/tests/budget_test.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from dockmux.accord.span import ZERO, ms
-from dockmux.ferry.budget import ALONE_PART, Budget
-from dockmux.ferry.deployment import Deployment
+from dockmux.platform_proxy.budget import ALONE_PART, Budget
+from dockmux.platform_proxy.deployment import Deployment
+from dockmux.runtime.span import ZERO, ms
 from tests.standins.fleet import RATIO, SECOND, Fleet, fleet
 
 WINDOW = timedelta(seconds=10)
--- a/tests/calm_test.py
+++ b/tests/calm_test.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from dockmux.ferry.tracker import Tracker
+from dockmux.platform_proxy.tracker import Tracker
 from tests.standins.fleet import SECOND, Fleet, fleet
 from tests.standins.operator import configuration, packed, route
 
@@ -152,7 +152,7 @@
 def test_the_adapter_finds_each_kind_of_invalid_configuration(kind):
     import words
 
-    from dockmux.ferry.routes import BadConfig
+    from dockmux.platform_proxy.routes import BadConfig
 
     try:
         text = INVALID[kind].decode()
--- a/tests/closed_connection_test.py
+++ b/tests/closed_connection_test.py
@@ -5,7 +5,7 @@
 import pytest
 from eventlet.green import socket
 
-from dockmux.accord.host import Host
+from dockmux.runtime.host import Host
 
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)
 
--- a/tests/control/cores.py
+++ b/tests/control/cores.py
@@ -9,11 +9,11 @@
 import settings_file
 import words
 
-from dockmux.accord.catalogue import Note
-from dockmux.accord.span import ms
 from dockmux.control.core import Core
-from dockmux.ferry.operator_api import OperatorApi
-from dockmux.omen.world import Disk, SimHost, World
+from dockmux.platform_proxy.operator_api import OperatorApi
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.span import ms
+from dockmux.simulator.world import Disk, SimHost, World
 from tests.standins.fleet import lines
 from tests.standins.operator import Operator, configuration, packed
 
@@ -61,7 +61,7 @@
                 self.daemons[name] = core
                 while not host.disk_silent:
                     host.sleep(wait=ms(100))
-                # As `dockmux.accord.daemon` does it.
+                # As `dockmux.runtime.daemon` does it.
                 host.kill()
 
         self.hosts[name] = self.world.start(name=name, ip=rows["ip"], site=rows["az"], run=run)
--- a/tests/control/founding_test.py
+++ b/tests/control/founding_test.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from dockmux.omen.world import World
+from dockmux.simulator.world import World
 from tests.control.cores import SECOND, Cores, text_of
 
 
--- a/tests/control/growth_figures.py
+++ b/tests/control/growth_figures.py
@@ -12,13 +12,13 @@
 from pathlib import Path
 from typing import Any
 
-from dockmux.accord import codec
-from dockmux.accord.catalogue import Note
-from dockmux.accord.host import Host
-from dockmux.accord.types import Entry, JoinReply
 from dockmux.control.replica_store import ReplicaStore
 from dockmux.control.state import State
 from dockmux.control.version_log import digest_of
+from dockmux.runtime import codec
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.host import Host
+from dockmux.runtime.types import Entry, JoinReply
 
 TREE_BYTES = 250_000
 KEEP = timedelta(hours=24)
--- a/tests/control/membership_test.py
+++ b/tests/control/membership_test.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from dockmux.accord.types import View
 from dockmux.control.view_agreement import ViewAgreement
+from dockmux.runtime.types import View
 from tests.control.cores import SECOND, Cores, cores, text_of
 
 
--- a/tests/control/orders_again_test.py
+++ b/tests/control/orders_again_test.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from dockmux.accord.types import View
 from dockmux.control.chain_replica import ChainReplica
 from dockmux.control.view_agreement import ViewAgreement
+from dockmux.runtime.types import View
 from tests.control.cores import SECOND, Cores, cores, text_of
 
 
--- a/tests/control/record_log_rewrite_test.py
+++ b/tests/control/record_log_rewrite_test.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from dockmux.accord.record_log import RecordLog
+from dockmux.runtime.record_log import RecordLog
 from tests.standins.still import StillHost
 
 
--- a/tests/control/record_log_test.py
+++ b/tests/control/record_log_test.py
@@ -4,9 +4,9 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.accord.catalogue import Note
-from dockmux.accord.host import Host
-from dockmux.accord.record_log import RecordLog, RecordLogDamaged, batch_line, line, parse
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.host import Host
+from dockmux.runtime.record_log import RecordLog, RecordLogDamaged, batch_line, line, parse
 
 
 def test_every_prefix_of_a_file_gives_the_whole_records_before_it():
--- a/tests/control/replica_store_test.py
+++ b/tests/control/replica_store_test.py
@@ -4,11 +4,11 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.accord.catalogue import Note
-from dockmux.accord.host import Host
-from dockmux.accord.record_log import RecordLogDamaged
-from dockmux.accord.types import Entry, View
 from dockmux.control.replica_store import ReplicaStore
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.host import Host
+from dockmux.runtime.record_log import RecordLogDamaged
+from dockmux.runtime.types import Entry, View
 
 
 class _PowerCut(Exception):
--- a/tests/control/silent_disk_test.py
+++ b/tests/control/silent_disk_test.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from dockmux.accord import file_calls
-from dockmux.accord.span import ms
+from dockmux.runtime import file_calls
+from dockmux.runtime.span import ms
 from tests.control.cores import SECOND, Cores, cores
 
 RESTART = ms(300)
--- a/tests/control_model/found_test.py
+++ b/tests/control_model/found_test.py
@@ -4,8 +4,8 @@
 
 import eventlet
 
-from dockmux.accord.kinds import Kind
-from dockmux.accord.span import ms
+from dockmux.runtime.kinds import Kind
+from dockmux.runtime.span import ms
 from tests.control_model.history import Change
 from tests.control_model.operators import packed
 from tests.control_model.play import playing
--- a/tests/control_model/history.py
+++ b/tests/control_model/history.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable, Iterable
 from datetime import timedelta
 
-from dockmux.accord.config import CONFIGS_KEPT
-from dockmux.accord.span import ms
+from dockmux.runtime.config import CONFIGS_KEPT
+from dockmux.runtime.span import ms
 
 # Daemons are looked at so often; what one look shows may be so much older.
 SAMPLE_WAIT = ms(20)
--- a/tests/control_model/machines.py
+++ b/tests/control_model/machines.py
@@ -7,8 +7,8 @@
 import words
 
 from dockmux.control.core import Core
-from dockmux.ferry.operator_api import OperatorApi
-from dockmux.omen.world import Disk, SimHost, World
+from dockmux.platform_proxy.operator_api import OperatorApi
+from dockmux.simulator.world import Disk, SimHost, World
 from tests.standins.fleet import ZONES, lines
 
 SEEDS = 3
--- a/tests/control_model/observer.py
+++ b/tests/control_model/observer.py
@@ -2,10 +2,10 @@
 
 from typing import Any
 
-from dockmux.accord.span import ms
-from dockmux.accord.types import View
 from dockmux.control.core import Core
 from dockmux.control.view_agreement import ViewAgreement
+from dockmux.runtime.span import ms
+from dockmux.runtime.types import View
 from tests.control_model.history import SAMPLE_WAIT, Acting, Change, History, Learned, MemberLog, SeenView
 from tests.control_model.machines import Machines
 from tests.control_model.operators import unpacked
--- a/tests/control_model/operators.py
+++ b/tests/control_model/operators.py
@@ -5,7 +5,7 @@
 
 import eventlet
 
-from dockmux.accord.span import ms
+from dockmux.runtime.span import ms
 from tests.control_model.history import Change, History, Put, Read
 from tests.control_model.machines import Machines
 from tests.control_model.steps import Base, PutStep, ReadStep, ResendStep, TrafficStep
--- a/tests/control_model/play.py
+++ b/tests/control_model/play.py
@@ -7,9 +7,9 @@
 
 import eventlet
 
-from dockmux.accord.catalogue import Note
-from dockmux.accord.span import ms
-from dockmux.omen.world import Disk, World
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.span import ms
+from dockmux.simulator.world import Disk, World
 from tests.control_model.history import Change, History
 from tests.control_model.machines import Machines
 from tests.control_model.observer import Observer
--- a/tests/cut_requests_test.py
+++ b/tests/cut_requests_test.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from dockmux.accord import codec
-from dockmux.accord.frames import pack
-from dockmux.accord.span import ms
-from dockmux.accord.types import DirectoryAsk, DirectoryReply
-from dockmux.accord.wire import Desk
-from dockmux.omen.world import SimHost, World
+from dockmux.runtime import codec
+from dockmux.runtime.frames import pack
+from dockmux.runtime.span import ms
+from dockmux.runtime.types import DirectoryAsk, DirectoryReply
+from dockmux.runtime.wire import Desk
+from dockmux.simulator.world import SimHost, World
 from tests.standins.fleet import SECOND, Fleet, fleet
 from tests.standins.operator import configuration, packed
 
--- a/tests/daemon_test.py
+++ b/tests/daemon_test.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from dockmux.accord import daemon
-from dockmux.accord.catalogue import Note
-from dockmux.accord.settings import BadSetting, check
-from dockmux.accord.settings_type import Settings
+from dockmux.runtime import daemon
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.settings import BadSetting, check
+from dockmux.runtime.settings_type import Settings
 
 
 class Ended(Exception):
--- a/tests/directory_test.py
+++ b/tests/directory_test.py
@@ -3,11 +3,11 @@
 import random
 from datetime import timedelta
 
-from dockmux.accord.host import Host
-from dockmux.accord.span import ms
-from dockmux.ferry.deployment import Deployment
-from dockmux.ferry.dialect import EngineEntry
-from dockmux.ferry.directory import Directory
+from dockmux.platform_proxy.deployment import Deployment
+from dockmux.platform_proxy.dialect import EngineEntry
+from dockmux.platform_proxy.directory import Directory
+from dockmux.runtime.host import Host
+from dockmux.runtime.span import ms
 
 
 class StillHost(Host):
--- a/tests/events_test.py
+++ b/tests/events_test.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from dockmux.ferry.events import Events
+from dockmux.platform_proxy.events import Events
 from tests.standins.engine import event, stream_body
 
 
--- a/tests/failing_test.py
+++ b/tests/failing_test.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from dockmux.accord.span import ms
-from dockmux.ferry.verdicts import Verdicts
+from dockmux.platform_proxy.verdicts import Verdicts
+from dockmux.runtime.span import ms
 from tests.standins.fleet import SECOND, Fleet, fleet
 
 PATHS = ("/notes/a", "/check/c")
--- a/tests/gauge_test.py
+++ b/tests/gauge_test.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from dockmux.accord.span import ms
-from dockmux.ferry.edge import PASS, TELL, TELL_TO, Edge
-from dockmux.gauge.fleet import Size, figures, fleet, measure
-from dockmux.gauge.hollow import HollowEdge, Share
-from dockmux.gauge.slopes import line, power, slopes, table
+from dockmux.platform_proxy.edge import PASS, TELL, TELL_TO, Edge
+from dockmux.runtime.span import ms
+from dockmux.scale_model.fleet import Size, figures, fleet, measure
+from dockmux.scale_model.hollow import HollowEdge, Share
+from dockmux.scale_model.slopes import line, power, slopes, table
 
 WORDS = "platform/words.py"
 SIZE = Size(daemons=8, engines=60, models=4, cores=3, zones=3, real=4)
--- a/tests/high_descriptor_test.py
+++ b/tests/high_descriptor_test.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from dockmux.accord.host import Host
+from dockmux.runtime.host import Host
 
 SELECT_MOST = 1024
 
--- a/tests/http_server_test.py
+++ b/tests/http_server_test.py
@@ -6,8 +6,8 @@
 import eventlet
 import pytest
 
-from dockmux.accord.host import Host
-from dockmux.accord.web import fetch, serve
+from dockmux.runtime.host import Host
+from dockmux.runtime.web import fetch, serve
 from tests.standins.fleet import SECOND, fleet
 from tests.standins.operator import configuration, packed
 
--- a/tests/leaving_test.py
+++ b/tests/leaving_test.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from dockmux.ferry.directory import Directory
+from dockmux.platform_proxy.directory import Directory
 from tests.standins.engine import Arrival
 from tests.standins.fleet import SECOND, Fleet, fleet
 
--- a/tests/list_copies_test.py
+++ b/tests/list_copies_test.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from dockmux.accord.span import ms
-from dockmux.ferry.deployment import Deployment
-from dockmux.ferry.dialect import EngineEntry
-from dockmux.ferry.directory import Directory, digest_of
+from dockmux.platform_proxy.deployment import Deployment
+from dockmux.platform_proxy.dialect import EngineEntry
+from dockmux.platform_proxy.directory import Directory, digest_of
+from dockmux.runtime.span import ms
 from tests.standins.still import StillHost
 
 
--- a/tests/patience_test.py
+++ b/tests/patience_test.py
@@ -4,9 +4,9 @@
 
 import words
 
-from dockmux.ferry.dialect import Ask
-from dockmux.ferry.record import Record
-from dockmux.ferry.routes import Route, RunRule
+from dockmux.platform_proxy.dialect import Ask
+from dockmux.platform_proxy.record import Record
+from dockmux.platform_proxy.routes import Route, RunRule
 
 
 def route(**fields: object) -> Route:
--- a/tests/placement_test.py
+++ b/tests/placement_test.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from dockmux.accord.span import ZERO, ms
-from dockmux.ferry.dialect import Ask, EngineEntry, Part
-from dockmux.ferry.placement import PARTS_KEPT, Placement, order, shared_key
-from dockmux.ferry.work import Work
+from dockmux.platform_proxy.dialect import Ask, EngineEntry, Part
+from dockmux.platform_proxy.placement import PARTS_KEPT, Placement, order, shared_key
+from dockmux.platform_proxy.work import Work
+from dockmux.runtime.span import ZERO, ms
 from tests.standins.still import StillHost
 
 
--- a/tests/planted_faults/probes.py
+++ b/tests/planted_faults/probes.py
@@ -8,10 +8,14 @@
 
 import eventlet
 
-from dockmux.accord.host import Host
-from dockmux.accord.record_log import parse
-from dockmux.accord.span import ZERO, ms
-from dockmux.accord.types import (
+from dockmux.control.chain_replica import BATCH_MOST, Write
+from dockmux.control.core import Core
+from dockmux.control.state import State
+from dockmux.control.view_agreement import Founders, ViewAgreement
+from dockmux.runtime.host import Host
+from dockmux.runtime.record_log import parse
+from dockmux.runtime.span import ZERO, ms
+from dockmux.runtime.types import (
     AcceptAsk,
     Append,
     Appended,
@@ -25,11 +29,7 @@
     PromiseAsk,
     View,
 )  # fmt: skip
-from dockmux.control.chain_replica import BATCH_MOST, Write
-from dockmux.control.core import Core
-from dockmux.control.state import State
-from dockmux.control.view_agreement import Founders, ViewAgreement
-from dockmux.omen.world import World
+from dockmux.simulator.world import World
 from tests.control_model.history import Change
 from tests.control_model.operators import packed
 from tests.control_model.play import LINK_US, Player, playing
--- a/tests/planted_faults/scenarios.py
+++ b/tests/planted_faults/scenarios.py
@@ -6,9 +6,9 @@
 
 import eventlet
 
-from dockmux.accord.kinds import Kind, Outcome
-from dockmux.accord.span import ms
 from dockmux.control import chain_replica
+from dockmux.runtime.kinds import Kind, Outcome
+from dockmux.runtime.span import ms
 from tests.control_model.history import Change, breaches
 from tests.control_model.operators import packed, unpacked
 from tests.control_model.play import Player, playing
--- a/tests/planted_faults/table.py
+++ b/tests/planted_faults/table.py
@@ -7,7 +7,7 @@
 from dockmux.control.joining import Joining
 from dockmux.control.replica_store import ReplicaStore
 from dockmux.control.view_agreement import ViewAgreement
-from dockmux.ferry.operator_api import OperatorApi
+from dockmux.platform_proxy.operator_api import OperatorApi
 from tests.planted_faults.fault import PlantedFault, Rewrite
 
 
--- a/tests/retry_pause_test.py
+++ b/tests/retry_pause_test.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from dockmux.ferry.connections import Connections
-from dockmux.ferry.course import Course
+from dockmux.platform_proxy.connections import Connections
+from dockmux.platform_proxy.course import Course
 from tests.standins.client import Seen
 from tests.standins.fleet import fleet
 
--- a/tests/routes_test.py
+++ b/tests/routes_test.py
@@ -7,7 +7,7 @@
 import pytest
 import words
 
-from dockmux.ferry.routes import BadConfig, Route, RouteTable, RunRule
+from dockmux.platform_proxy.routes import BadConfig, Route, RouteTable, RunRule
 from tests.standins.operator import configuration, route
 
 
--- a/tests/send_model_test.py
+++ b/tests/send_model_test.py
@@ -16,8 +16,8 @@
 from hypothesis import HealthCheck, Phase, settings
 from hypothesis import strategies as st
 
-from dockmux.accord.span import ms
-from dockmux.ferry.send_state import Broken, SendState
+from dockmux.platform_proxy.send_state import Broken, SendState
+from dockmux.runtime.span import ms
 from tests import conftest
 from tests.sends_test import PATHS, breaches, tokens_out
 from tests.standins.client import Seen
--- a/tests/sends_test.py
+++ b/tests/sends_test.py
@@ -4,17 +4,17 @@
 
 import pytest
 
-from dockmux.accord import codec
-from dockmux.accord.frames import FrameStream
-from dockmux.accord.span import ms
-from dockmux.accord.types import DirectoryAsk, DirectoryReply
-from dockmux.accord.web import HttpStream
-from dockmux.accord.wire import Caller
-from dockmux.ferry import calls
-from dockmux.ferry.calls import Calls
-from dockmux.ferry.connections import Connections
-from dockmux.ferry.send_state import Broken, SendState, TurnedAway, Unsent
-from dockmux.omen.world import SimHost, World
+from dockmux.platform_proxy import calls
+from dockmux.platform_proxy.calls import Calls
+from dockmux.platform_proxy.connections import Connections
+from dockmux.platform_proxy.send_state import Broken, SendState, TurnedAway, Unsent
+from dockmux.runtime import codec
+from dockmux.runtime.frames import FrameStream
+from dockmux.runtime.span import ms
+from dockmux.runtime.types import DirectoryAsk, DirectoryReply
+from dockmux.runtime.web import HttpStream
+from dockmux.runtime.wire import Caller
+from dockmux.simulator.world import SimHost, World
 from tests.standins.client import Seen
 from tests.standins.engine import EARLY_FAULTS, WIRE_FAULTS
 from tests.standins.fleet import Fleet, fleet
--- a/tests/settings_file_test.py
+++ b/tests/settings_file_test.py
@@ -5,7 +5,7 @@
 import pytest
 import settings_file
 
-from dockmux.accord.settings import BadSetting
+from dockmux.runtime.settings import BadSetting
 from tests.standins.fleet import lines
 
 
--- a/tests/silence_test.py
+++ b/tests/silence_test.py
@@ -1,6 +1,6 @@
 """An engine that is silent in the middle of its answer."""
 
-from dockmux.accord.span import ms
+from dockmux.runtime.span import ms
 from tests.standins.fleet import fleet
 
 
--- a/tests/standins/client.py
+++ b/tests/standins/client.py
@@ -5,9 +5,9 @@
 import errno
 from datetime import timedelta
 
-from dockmux.accord.host import within
-from dockmux.accord.span import ms
-from dockmux.omen.world import SimHost
+from dockmux.runtime.host import within
+from dockmux.runtime.span import ms
+from dockmux.simulator.world import SimHost
 from tests.standins.engine import plain_body, stream_body
 
 CONNECT_LIMIT = timedelta(seconds=1)
--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -11,12 +11,12 @@
 
 from eventlet.semaphore import Semaphore
 
-from dockmux.accord.crew import Crew
-from dockmux.accord.served_connections import HEAD_BYTES_MOST, HeadLimits, ServedConnections
-from dockmux.accord.span import ms
-from dockmux.accord.web import Visit, serve
-from dockmux.omen.stream import SimStream
-from dockmux.omen.world import SimHost
+from dockmux.runtime.crew import Crew
+from dockmux.runtime.served_connections import HEAD_BYTES_MOST, HeadLimits, ServedConnections
+from dockmux.runtime.span import ms
+from dockmux.runtime.web import Visit, serve
+from dockmux.simulator.stream import SimStream
+from dockmux.simulator.world import SimHost
 
 MOVE = timedelta(milliseconds=4)
 SWAP = timedelta(milliseconds=1800)
--- a/tests/standins/engine_list.py
+++ b/tests/standins/engine_list.py
@@ -6,9 +6,9 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.accord.crew import Crew
-from dockmux.accord.web import Visit, serve
-from dockmux.omen.world import SimHost
+from dockmux.runtime.crew import Crew
+from dockmux.runtime.web import Visit, serve
+from dockmux.simulator.world import SimHost
 
 
 @dataclasses.dataclass(kw_only=True)
--- a/tests/standins/fleet.py
+++ b/tests/standins/fleet.py
@@ -8,14 +8,14 @@
 import settings_file
 import words
 
-from dockmux.accord.catalogue import Note
-from dockmux.accord.span import ms
-from dockmux.accord.web import fetch
 from dockmux.control.core import Core
-from dockmux.ferry.edge import Edge
-from dockmux.ferry.operator_api import OperatorApi
-from dockmux.ferry.phase_balancer import PhaseBalancer
-from dockmux.omen.world import SimHost, World
+from dockmux.platform_proxy.edge import Edge
+from dockmux.platform_proxy.operator_api import OperatorApi
+from dockmux.platform_proxy.phase_balancer import PhaseBalancer
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.span import ms
+from dockmux.runtime.web import fetch
+from dockmux.simulator.world import SimHost, World
 from tests.standins.client import Client, Request, Seen
 from tests.standins.engine import Engine, Faults, Record
 from tests.standins.engine_list import EngineList
--- a/tests/standins/operator.py
+++ b/tests/standins/operator.py
@@ -7,10 +7,10 @@
 
 import urllib3.exceptions
 
-from dockmux.accord.host import within
-from dockmux.accord.span import ms
-from dockmux.accord.web import HttpStream
-from dockmux.omen.world import SimHost
+from dockmux.runtime.host import within
+from dockmux.runtime.span import ms
+from dockmux.runtime.web import HttpStream
+from dockmux.simulator.world import SimHost
 
 CALL_LIMIT = timedelta(seconds=1)
 
--- a/tests/standins/still.py
+++ b/tests/standins/still.py
@@ -4,9 +4,9 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.accord.catalogue import Note
-from dockmux.accord.host import Host
-from dockmux.accord.span import ms
+from dockmux.runtime.catalogue import Note
+from dockmux.runtime.host import Host
+from dockmux.runtime.span import ms
 
 
 class StillHost(Host):
--- a/tests/stream_test.py
+++ b/tests/stream_test.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from dockmux.accord.span import ms
-from dockmux.omen.world import SimHost, World
+from dockmux.runtime.span import ms
+from dockmux.simulator.world import SimHost, World
 
 ADDRESS = "10.0.0.1:80"
 
--- a/tests/user_agent_left_test.py
+++ b/tests/user_agent_left_test.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from dockmux.accord.span import ms
-from dockmux.omen.fleet import fleet
-from dockmux.stage.plan import load
+from dockmux.local_fleet.plan import load
+from dockmux.runtime.span import ms
+from dockmux.simulator.fleet import fleet
 
 SECOND = ms(1000)
 
--- a/tests/verdicts_test.py
+++ b/tests/verdicts_test.py
@@ -1,7 +1,7 @@
 """Which engines are left out, and for how long."""
 
-from dockmux.accord.catalogue import Note
-from dockmux.ferry.verdicts import KEPT, LONGEST_WAIT, RENEWED, Verdicts
+from dockmux.platform_proxy.verdicts import KEPT, LONGEST_WAIT, RENEWED, Verdicts
+from dockmux.runtime.catalogue import Note
 from tests.standins.still import StillHost
 
 
--- a/tests/work_test.py
+++ b/tests/work_test.py
@@ -2,8 +2,8 @@
 
 from datetime import timedelta
 
-from dockmux.accord.span import ZERO, ms
-from dockmux.ferry.work import TOLD_FOR, Work
+from dockmux.platform_proxy.work import TOLD_FOR, Work
+from dockmux.runtime.span import ZERO, ms
 from tests.standins.still import StillHost
 
 
