--- a/tests/daemon_test.py
+++ b/tests/daemon_test.py
@@ -51,8 +51,8 @@
         self.now += wait
         os.kill(os.getpid(), self.signals.pop(0) if self.signals else signal.SIGTERM)
 
-    def log(self, note: LogEvent, **fields: object) -> None:
-        self.logged.append((note, fields))
+    def log(self, log_event: LogEvent, **fields: object) -> None:
+        self.logged.append((log_event, fields))
 
 
 def settings(*, seeds: list[str]) -> Settings:
@@ -90,7 +90,7 @@
         signals=[signal.SIGHUP, signal.SIGHUP], again=lambda: settings(seeds=["10.0.0.2:7000", "10.0.0.3:7000"])
     )  # fmt: skip
     assert made.peers.seeds == ["10.0.0.2:7000", "10.0.0.3:7000"] and made.drained
-    assert [note for note, _ in host.logged] == [
+    assert [log_event for log_event, _ in host.logged] == [
         LogEvent.SETTINGS_READ, LogEvent.SETTINGS_READ, LogEvent.STOPPING, LogEvent.STOPPED,
     ]  # fmt: skip
 
@@ -108,7 +108,7 @@
     with pytest.raises(Ended) as ended:
         daemon.run(host=host, settings=settings(seeds=["10.0.0.1:7000"]), running=contextlib.nullcontext(made))
     assert ended.value.args == (daemon.EXIT_DISK_SILENT,) and not made.drained
-    assert [note for note, _ in host.logged] == [LogEvent.DISK_SILENT]
+    assert [log_event for log_event, _ in host.logged] == [LogEvent.DISK_SILENT]
 
 
 def test_a_changed_file_that_is_wrong_changes_nothing(own_signals: None) -> None:
--- a/tests/directory_test.py
+++ b/tests/directory_test.py
@@ -21,7 +21,7 @@
     def elapsed(self) -> timedelta:
         return self.time
 
-    def log(self, note: object, **fields: object) -> None:
+    def log(self, log_event: object, **fields: object) -> None:
         return
 
 
@@ -33,7 +33,7 @@
 
 def pair() -> list[Directory]:
     deployment = Deployment(drain=timedelta(seconds=3))
-    return [Directory(host=StillHost(name=name), deployment=deployment, dialect=None) for name in ("a", "b")]
+    return [Directory(host=StillHost(name=name), deployment=deployment, protocol=None) for name in ("a", "b")]
 
 
 def test_a_copy_that_two_daemons_tell_each_other_grows_old_all_the_same():
--- a/tests/gauge_test.py
+++ b/tests/gauge_test.py
@@ -32,14 +32,14 @@
     def _stream(self) -> contextlib.ExitStack:
         writers = [row.engine for row in self.edge.directory.rows.values() if row.phase != "prefill"]
         opened = contextlib.ExitStack()
-        opened.enter_context(self.edge.work.streaming(engine=self.drawn.choice(writers)))
+        opened.enter_context(self.edge.load_tracker.streaming(engine=self.drawn.choice(writers)))
         return opened
 
     def _prompt(self) -> contextlib.ExitStack:
         readers = [row.engine for row in self.edge.directory.rows.values() if row.phase == "prefill"]
         opened = contextlib.ExitStack()
         engine = self.drawn.choice(readers)
-        opened.enter_context(self.edge.work.reading(engine=engine, span=ms(self.share.prompt_ms)))
+        opened.enter_context(self.edge.load_tracker.reading(engine=engine, span=ms(self.share.prompt_ms)))
         return opened
 
     def carry(self, *, span_s: float) -> None:
@@ -95,7 +95,7 @@
         # What they tell of their work adds up to the same: times still to be read, streams.
         sums = []
         for edges in (real, hollow):
-            rows = [row for edge in edges for row in edge.work.summary().values()]
+            rows = [row for edge in edges for row in edge.load_tracker.summary().values()]
             sums.append([sum(column) for column in zip(*rows, strict=True)])
         assert sums[0] == sums[1]
         for part, count in told["real"]["state"].items():
@@ -105,7 +105,7 @@
             assert edge.directory.digest == real[0].directory.digest
             assert edge.tracker.table.version == made.version
             assert {*edge.peers.cards, edge.settings.address} == {*real[0].peers.cards, real[0].settings.address}
-            assert set(edge.work.summaries) == set(made.edges) - {edge.settings.name}
+            assert set(edge.load_tracker.summaries) == set(made.edges) - {edge.settings.name}
 
 
 def test_the_same_seed_gives_the_same_figures_but_for_processor_time():
--- a/tests/http_server_test.py
+++ b/tests/http_server_test.py
@@ -35,7 +35,9 @@
     with host.listen(address="127.0.0.1:0") as listener:
         address = "{}:{}".format(*listener.getsockname())
         short = ShortListener(listener=listener, failures=3)
-        task = eventlet.spawn(serve, host=host, listener=short, site=lambda visit: visit.reply(status=200, fields={}))
+        task = eventlet.spawn(
+            serve, host=host, listener=short, handler=lambda exchange: exchange.reply(status=200, fields={})
+        )
         status, _, _ = fetch(host=host, address=address, method="GET", path="/", wait=timedelta(seconds=5))
         task.kill()
     assert status == 200 and short.failures == 0
--- a/tests/list_copies_test.py
+++ b/tests/list_copies_test.py
@@ -23,7 +23,7 @@
 
 
 def _directory() -> Directory:
-    return Directory(host=StillHost(), deployment=Deployment(drain=timedelta(seconds=3)), dialect=None)
+    return Directory(host=StillHost(), deployment=Deployment(drain=timedelta(seconds=3)), protocol=None)
 
 
 def _hear(*, directory: Directory, digest: str, age_ms: int, delta: dict[str, Any] | None, origin: str = "b:1") -> bool:
--- a/tests/patience_test.py
+++ b/tests/patience_test.py
@@ -18,12 +18,12 @@
 
 
 def record(*, of: Route) -> RequestRecord:
-    ask = RequestMetadata(
-        request_id="x", deadline=None, model="m", tokens_in=1, tokens_out=1, parts=(), last_event=None
+    metadata = RequestMetadata(
+        request_id="x", deadline=None, model="m", tokens_in=1, tokens_out=1, prefix_blocks=(), last_event=None
     )  # fmt: skip
     began = timedelta(seconds=100)
     return RequestRecord(
-        key=1, ask=ask, route=of, service="s", method="POST", target="/", headers=(), body=b"", began=began,
+        key=1, metadata=metadata, route=of, service="s", method="POST", target="/", headers=(), body=b"", began=began,
         until=began + of.hold,
     )  # fmt: skip
 
--- a/tests/placement_test.py
+++ b/tests/placement_test.py
@@ -22,20 +22,20 @@
 
 
 def _ask(*, shared: str, own: str = "own", shared_tokens: int = 6000, own_tokens: int = 6000) -> RequestMetadata:
-    parts = (PrefixBlock(name=shared, tokens=shared_tokens), PrefixBlock(name=own, tokens=own_tokens))
+    prefix_blocks = (PrefixBlock(name=shared, tokens=shared_tokens), PrefixBlock(name=own, tokens=own_tokens))
     return RequestMetadata(
-        request_id="r", deadline=None, model="m", tokens_in=shared_tokens + own_tokens, tokens_out=20, parts=parts,
-        last_event=None,
+        request_id="r", deadline=None, model="m", tokens_in=shared_tokens + own_tokens, tokens_out=20,
+        prefix_blocks=prefix_blocks, last_event=None,
     )  # fmt: skip
 
 
 def _placement(*, seed: int = 1) -> Placement:
     host = StillHost(seed=seed)
-    return Placement(host=host, zone="hill", work=LoadTracker(host=host))
+    return Placement(host=host, zone="hill", load_tracker=LoadTracker(host=host))
 
 
 def _reader(*, placement: Placement, shared: str, engines: list[EngineEntry]) -> str:
-    pairing = placement.choose(service="s", ask=_ask(shared=shared), engines=engines, avoid=set())
+    pairing = placement.choose(service="s", metadata=_ask(shared=shared), engines=engines, avoid=set())
     assert pairing is not None and pairing.reader is not None
     return pairing.reader.engine
 
@@ -61,9 +61,9 @@
 def test_when_the_home_is_pressed_a_prompt_is_read_elsewhere():
     placement = _placement()
     home = _reader(placement=placement, shared="b", engines=READERS + WRITERS)
-    placement.work.hear(daemon="other", works={home: [20, 1]})
+    placement.load_tracker.hear(daemon="other", works={home: [20, 1]})
     assert _reader(placement=placement, shared="b", engines=READERS + WRITERS) == home
-    placement.work.hear(daemon="other", works={home: [2000, 5]})
+    placement.load_tracker.hear(daemon="other", works={home: [2000, 5]})
     assert _reader(placement=placement, shared="b", engines=READERS + WRITERS) != home
     # Word of the press lapses.
     placement.host.pass_ms(3100)
@@ -72,51 +72,55 @@
 
 def test_engines_to_avoid_are_avoided_while_there_are_others():
     placement = _placement()
-    ask = _ask(shared="b")
+    metadata = _ask(shared="b")
     home = _reader(placement=placement, shared="b", engines=READERS + WRITERS)
     for _ in range(20):
-        pairing = placement.choose(service="s", ask=ask, engines=READERS + WRITERS, avoid={home, "d0", "d1", "d2"})
+        pairing = placement.choose(
+            service="s", metadata=metadata, engines=READERS + WRITERS, avoid={home, "d0", "d1", "d2"}
+        )
         assert pairing.reader.engine != home and pairing.writer.engine == "d3"
     pairing = placement.choose(
-        service="s", ask=ask, engines=READERS + WRITERS, avoid={engine.engine for engine in WRITERS}
+        service="s", metadata=metadata, engines=READERS + WRITERS, avoid={engine.engine for engine in WRITERS}
     )
     assert pairing.writer.engine.startswith("d")
-    assert placement.choose(service="s", ask=ask, engines=READERS, avoid=set()) is None
-    assert placement.choose(service="s", ask=ask, engines=[], avoid=set()) is None
+    assert placement.choose(service="s", metadata=metadata, engines=READERS, avoid=set()) is None
+    assert placement.choose(service="s", metadata=metadata, engines=[], avoid=set()) is None
 
 
 def test_without_reading_engines_the_writer_reads_and_what_is_short_is_read_there_too():
     placement = _placement()
-    pairing = placement.choose(service="s", ask=_ask(shared="b"), engines=WRITERS, avoid=set())
+    pairing = placement.choose(service="s", metadata=_ask(shared="b"), engines=WRITERS, avoid=set())
     assert pairing.reader is None and pairing.writer_span > ZERO
     short = _ask(shared="b", shared_tokens=100, own_tokens=20)
-    pairing = placement.choose(service="s", ask=short, engines=READERS + WRITERS, avoid=set())
+    pairing = placement.choose(service="s", metadata=short, engines=READERS + WRITERS, avoid=set())
     assert pairing.reader is None
 
 
 def test_writing_goes_to_the_least_loaded_near():
     placement = _placement()
     far = [_engine(name="far", phase="decode", zone="lake")]
-    names = {placement.writer(ask=_ask(shared="b"), writers=[*far, WRITERS[0]], near="hill").engine for _ in range(20)}
+    names = {
+        placement.writer(metadata=_ask(shared="b"), writers=[*far, WRITERS[0]], near="hill").engine for _ in range(20)
+    }
     assert names == {"d0"}
-    placement.work.hear(daemon="other", works={"d0": [0, 40]})
-    assert placement.writer(ask=_ask(shared="b"), writers=[*far, WRITERS[0]], near="hill").engine == "far"
+    placement.load_tracker.hear(daemon="other", works={"d0": [0, 40]})
+    assert placement.writer(metadata=_ask(shared="b"), writers=[*far, WRITERS[0]], near="hill").engine == "far"
 
 
 def test_parts_that_were_read_are_known_from_the_first_on():
     placement = _placement()
-    ask = _ask(shared="b", shared_tokens=1000, own_tokens=200)
+    metadata = _ask(shared="b", shared_tokens=1000, own_tokens=200)
     engine = READERS[0]
-    assert placement.unread(engine=engine, ask=ask, home=False) == 1200
-    assert placement.unread(engine=engine, ask=ask, home=True) == 200
-    placement.note_read(service="s", engine="p0", parts=ask.parts[1:])
-    assert placement.unread(engine=engine, ask=ask, home=False) == 1200
-    placement.note_read(service="s", engine="p0", parts=ask.parts)
-    assert placement.unread(engine=engine, ask=ask, home=False) == 1
-    assert placement.unread(engine=READERS[1], ask=ask, home=False) == 1200
+    assert placement.unread(engine=engine, metadata=metadata, home=False) == 1200
+    assert placement.unread(engine=engine, metadata=metadata, home=True) == 200
+    placement.note_read(service="s", engine="p0", prefix_blocks=metadata.prefix_blocks[1:])
+    assert placement.unread(engine=engine, metadata=metadata, home=False) == 1200
+    placement.note_read(service="s", engine="p0", prefix_blocks=metadata.prefix_blocks)
+    assert placement.unread(engine=engine, metadata=metadata, home=False) == 1
+    assert placement.unread(engine=READERS[1], metadata=metadata, home=False) == 1200
     for place in range(PARTS_KEPT):
-        placement.note_read(service="s", engine="p1", parts=(PrefixBlock(name=str(place), tokens=1),))
-    assert placement.unread(engine=engine, ask=ask, home=False) == 1200
+        placement.note_read(service="s", engine="p1", prefix_blocks=(PrefixBlock(name=str(place), tokens=1),))
+    assert placement.unread(engine=engine, metadata=metadata, home=False) == 1200
 
 
 def test_the_pace_follows_what_is_seen_within_bounds():
@@ -132,10 +136,14 @@
 
 
 def test_what_is_shared_is_all_but_the_last_part():
-    assert shared_key(parts=()) == "" and shared_key(parts=(PrefixBlock(name="own", tokens=1),)) == ""
+    assert shared_key(prefix_blocks=()) == "" and shared_key(prefix_blocks=(PrefixBlock(name="own", tokens=1),)) == ""
     assert (
         shared_key(
-            parts=(PrefixBlock(name="a", tokens=1), PrefixBlock(name="b", tokens=1), PrefixBlock(name="own", tokens=1))
+            prefix_blocks=(
+                PrefixBlock(name="a", tokens=1),
+                PrefixBlock(name="b", tokens=1),
+                PrefixBlock(name="own", tokens=1),
+            )
         )
         == "a>b"
     )
@@ -146,36 +154,36 @@
 
 def test_own_work_adds_up_until_it_has_come():
     host = StillHost()
-    work = LoadTracker(host=host)
-    with work.streaming(engine="e"), work.reading(engine="e", span=ms(100)):
-        with work.reading(engine="e", span=ms(50)):
-            assert work.backlog(engine="e") == ms(150) and work.streams(engine="e") == 1
-            assert work.summary() == {"e": [150, 1]}
+    load_tracker = LoadTracker(host=host)
+    with load_tracker.streaming(engine="e"), load_tracker.reading(engine="e", span=ms(100)):
+        with load_tracker.reading(engine="e", span=ms(50)):
+            assert load_tracker.backlog(engine="e") == ms(150) and load_tracker.streams(engine="e") == 1
+            assert load_tracker.summary() == {"e": [150, 1]}
             host.pass_ms(500)
-            assert work.backlog(engine="e") == ms(150)
-        assert work.backlog(engine="e") == ms(100) and work.summary() == {"e": [100, 1]}
-    assert work.backlog(engine="e") == ZERO and work.streams(engine="e") == 0
-    assert work.summary() == {} and work.own == {}
+            assert load_tracker.backlog(engine="e") == ms(150)
+        assert load_tracker.backlog(engine="e") == ms(100) and load_tracker.summary() == {"e": [100, 1]}
+    assert load_tracker.backlog(engine="e") == ZERO and load_tracker.streams(engine="e") == 0
+    assert load_tracker.summary() == {} and load_tracker.own == {}
 
 
 def test_work_is_given_back_when_the_call_fails():
-    work = LoadTracker(host=StillHost())
-    with pytest.raises(OSError), work.reading(engine="e", span=ms(100)), work.streaming(engine="e"):
+    load_tracker = LoadTracker(host=StillHost())
+    with pytest.raises(OSError), load_tracker.reading(engine="e", span=ms(100)), load_tracker.streaming(engine="e"):
         raise OSError("broken")
-    assert work.summary() == {} and work.own == {}
+    assert load_tracker.summary() == {} and load_tracker.own == {}
 
 
 def test_the_others_work_is_as_they_last_told_and_lapses():
     host = StillHost()
-    work = LoadTracker(host=host)
-    work.hear(daemon="a", works={"e": [300, 2]})
-    work.hear(daemon="b", works={"e": [100, 1], "f": [10, 0]})
-    assert work.backlog(engine="e") == ms(400) and work.streams(engine="e") == 3
-    work.hear(daemon="b", works={})
+    load_tracker = LoadTracker(host=host)
+    load_tracker.hear(daemon="a", works={"e": [300, 2]})
+    load_tracker.hear(daemon="b", works={"e": [100, 1], "f": [10, 0]})
+    assert load_tracker.backlog(engine="e") == ms(400) and load_tracker.streams(engine="e") == 3
+    load_tracker.hear(daemon="b", works={})
     host.pass_ms(100)
-    assert ms(200) <= work.backlog(engine="e") < ms(300) and work.streams(engine="e") == 2
-    work.forget(live={"b"})
-    assert work.backlog(engine="e") == ZERO and work.streams(engine="e") == 0
-    work.hear(daemon="a", works={"e": [9000, 2]})
+    assert ms(200) <= load_tracker.backlog(engine="e") < ms(300) and load_tracker.streams(engine="e") == 2
+    load_tracker.forget(live={"b"})
+    assert load_tracker.backlog(engine="e") == ZERO and load_tracker.streams(engine="e") == 0
+    load_tracker.hear(daemon="a", works={"e": [9000, 2]})
     host.pass_ms(3001)
-    assert work.backlog(engine="e") == ZERO and work.streams(engine="e") == 0
+    assert load_tracker.backlog(engine="e") == ZERO and load_tracker.streams(engine="e") == 0
--- a/tests/planted_faults/probes.py
+++ b/tests/planted_faults/probes.py
@@ -91,16 +91,16 @@
         view = agreement.view
         head = view.chain[0]
         for number in (view.number - 1, view.number + 1):
-            if agreement.on_grant(ask=GrantAsk(number=number, disk=head)).granted:
+            if agreement.on_grant(request=GrantAsk(number=number, disk=head)).granted:
                 yield f"a lease for view {number} under {view.number}"
-        if agreement.on_grant(ask=GrantAsk(number=view.number, disk="stranger")).granted:
+        if agreement.on_grant(request=GrantAsk(number=view.number, disk="stranger")).granted:
             yield "a lease for one outside the chain"
         agreement.store.view = _without_vote(agreement=agreement)
-        if agreement.on_grant(ask=GrantAsk(number=view.number, disk=head)).granted:
+        if agreement.on_grant(request=GrantAsk(number=view.number, disk=head)).granted:
             yield "a lease from one that is no voter"
         agreement.store.view = view
-        assert agreement.on_accept(ask=AcceptAsk(ballot=9, proposer="z", view=_next(view=view))).granted
-        if agreement.on_grant(ask=GrantAsk(number=view.number, disk=head)).granted:
+        assert agreement.on_accept(request=AcceptAsk(ballot=9, proposer="z", view=_next(view=view))).granted
+        if agreement.on_grant(request=GrantAsk(number=view.number, disk=head)).granted:
             yield "a lease after a newer view was accepted"
 
 
@@ -134,7 +134,7 @@
         following = view.number + 1
 
         def promise(number: int, ballot: int) -> Any:
-            return agreement.on_promise(ask=PromiseAsk(number=number, ballot=ballot, proposer="m"))
+            return agreement.on_promise(request=PromiseAsk(number=number, ballot=ballot, proposer="m"))
 
         for number in (view.number, following + 1):
             if promise(number, 1).granted:
@@ -148,7 +148,7 @@
             if promise(following, ballot).granted:
                 yield f"a promise for ballot {ballot} after one for 5"
         wanted = _next(view=view)
-        assert agreement.on_accept(ask=AcceptAsk(ballot=6, proposer="m", view=wanted)).granted
+        assert agreement.on_accept(request=AcceptAsk(ballot=6, proposer="m", view=wanted)).granted
         if promise(following, 7).accepted != wanted:
             yield "a promise that does not tell what was accepted"
         store = _restart(player=player, core=core).store
@@ -167,7 +167,7 @@
         wanted = _next(view=view)
 
         def accept(accepted: View, ballot: int) -> bool:
-            return agreement.on_accept(ask=AcceptAsk(ballot=ballot, proposer="m", view=accepted)).granted
+            return agreement.on_accept(request=AcceptAsk(ballot=ballot, proposer="m", view=accepted)).granted
 
         for number in (view.number, view.number + 2):
             if accept(dataclasses.replace(wanted, number=number), 1):
@@ -176,7 +176,7 @@
         if accept(wanted, 2):
             yield "a view accepted by one that is no voter"
         agreement.store.view = view
-        assert agreement.on_promise(ask=PromiseAsk(number=wanted.number, ballot=5, proposer="m")).granted
+        assert agreement.on_promise(request=PromiseAsk(number=wanted.number, ballot=5, proposer="m")).granted
         if accept(wanted, 4):
             yield "a view accepted under ballot 4 after a promise for 5"
         agreement.store.level = False
@@ -195,7 +195,7 @@
         view = first.view
         decided = _next(view=view, chain=[first.me, second.me])
         for agreement in (second, third):
-            assert agreement.on_accept(ask=AcceptAsk(ballot=3, proposer="m", view=decided)).granted
+            assert agreement.on_accept(request=AcceptAsk(ballot=3, proposer="m", view=decided)).granted
         first.ballot = 5
         first.propose(chain=[first.me, third.me], voters=view.voters)
         if first.view.number == decided.number and first.view != decided:
@@ -209,7 +209,7 @@
         first, second, third = (_core(player=player, place=place).agreement for place in range(3))
         decided = _next(view=first.view, chain=[first.me, second.me])
         for agreement in (second, third):
-            assert agreement.on_accept(ask=AcceptAsk(ballot=3, proposer="m", view=decided)).granted
+            assert agreement.on_accept(request=AcceptAsk(ballot=3, proposer="m", view=decided)).granted
         machine = player.machines.host(place=0).machine
         machine.isolated = True
         first.ballot = 5
@@ -291,7 +291,7 @@
 def founding() -> Iterator[str]:
     with playing(members=3, seed=SEED) as player:
         agreement = _core(player=player, place=1).agreement
-        if agreement.on_found(ask=FoundAsk(view=agreement.store.founding)).granted:
+        if agreement.on_found(request=FoundAsk(view=agreement.store.founding)).granted:
             yield "founded by a disk that has a view"
     with _alone(started=1) as player:
         core = _core(player=player, place=0)
@@ -307,7 +307,7 @@
         agreement._founders = lambda: known
 
         def found(named: list[str]) -> bool:
-            return agreement.on_found(ask=FoundAsk(view=View(number=1, chain=named, voters=named))).granted
+            return agreement.on_found(request=FoundAsk(view=View(number=1, chain=named, voters=named))).granted
 
         if found(other):
             yield "founded a set that lacks a seed"
@@ -371,7 +371,7 @@
         held = chain.synced
 
         def append(mark: int, entries: list[Entry], *, number: int = view.number, upto: int = 0) -> Any:
-            return chain.on_append(ask=Append(number=number, mark=mark, upto=upto, entries=entries))
+            return chain.on_append(request=Append(number=number, mark=mark, upto=upto, entries=entries))
 
         append(held, _entries(after=held, count=1), number=view.number - 1)
         if chain.synced != held:
@@ -412,11 +412,11 @@
         core = _chain_cores(player=player)[-1]
         held = core.chain.synced
         core.agreement.grants.clear()
-        ask = Append(number=core.agreement.view.number, mark=held, upto=held, entries=[])
-        if core.chain.on_append(ask=ask).state == "acked":
+        request = Append(number=core.agreement.view.number, mark=held, upto=held, entries=[])
+        if core.chain.on_append(request=request).state == "acked":
             yield "acknowledged by a tail without a lease"
-        ask = ConfirmAsk(number=core.agreement.view.number, sessions=[])
-        if core.chain.on_confirm(ask=ask).granted:
+        request = ConfirmAsk(number=core.agreement.view.number, sessions=[])
+        if core.chain.on_confirm(request=request).granted:
             yield "confirmed by a tail without a lease"
 
 
@@ -425,8 +425,8 @@
         core = _chain_cores(player=player)[-1]
         held = core.chain.synced
         core.store.level = False
-        ask = Append(number=core.agreement.view.number, mark=held, upto=held + 5, entries=[])
-        if core.chain.on_append(ask=ask).state == "acked":
+        request = Append(number=core.agreement.view.number, mark=held, upto=held + 5, entries=[])
+        if core.chain.on_append(request=request).state == "acked":
             yield "acknowledged by a tail that is not level"
 
 
@@ -435,24 +435,24 @@
         _, middle, tail = _chain_cores(player=player)
         view = middle.agreement.view
         middle.store.view = dataclasses.replace(view, chain=[tail.agreement.me])
-        if middle.joining.on_join(ask=JoinAsk(disk="j", mark=0, fresh=True)).granted:
+        if middle.joining.on_join(request=JoinAsk(disk="j", mark=0, fresh=True)).granted:
             yield "a snapshot handed out by one outside the chain"
         middle.store.view = view
-        if middle.joining.on_join(ask=JoinAsk(disk="j", mark=0, fresh=False)).granted:
+        if middle.joining.on_join(request=JoinAsk(disk="j", mark=0, fresh=False)).granted:
             yield "entries handed out by one that is not the tail"
         held, number = tail.chain.synced, tail.agreement.view.number
         many = _entries(after=held, count=BATCH_MOST + 50)
-        tail.chain.on_append(ask=Append(number=number, mark=held, upto=many[-1].mark, entries=many))
-        tail.joining.on_join(ask=JoinAsk(disk="slow", mark=held, fresh=False))
+        tail.chain.on_append(request=Append(number=number, mark=held, upto=many[-1].mark, entries=many))
+        tail.joining.on_join(request=JoinAsk(disk="slow", mark=held, fresh=False))
         if "slow" in tail.agreement.candidates:
             yield "one that is far behind is a candidate"
         known = tail.chain.synced
         tail.store.append(entries=_entries(after=known, count=1))
-        handed = tail.joining.on_join(ask=JoinAsk(disk="j", mark=known - 1, fresh=False)).entries
+        handed = tail.joining.on_join(request=JoinAsk(disk="j", mark=known - 1, fresh=False)).entries
         if handed[-1].mark != known:
             yield "an entry handed out that is not acknowledged"
         tail.store.reset(state=tail.chain.state)
-        if tail.joining.on_join(ask=JoinAsk(disk="j", mark=0, fresh=False)).granted:
+        if tail.joining.on_join(request=JoinAsk(disk="j", mark=0, fresh=False)).granted:
             yield "entries handed out behind what is kept"
 
 
@@ -465,7 +465,9 @@
         if middle.chain.synced != held:
             yield "a member was put back to a snapshot"
         one = _entries(after=tail.chain.synced, count=1)
-        tail.chain.on_append(ask=Append(number=tail.agreement.view.number, mark=held, upto=one[-1].mark, entries=one))
+        tail.chain.on_append(
+            request=Append(number=tail.agreement.view.number, mark=held, upto=one[-1].mark, entries=one)
+        )
         middle.joining.needs_snapshot = False
         middle.joining._catch_up()
         if middle.chain.synced != held:
@@ -478,8 +480,8 @@
     def __init__(self, *, rest: dict[str, Any]) -> None:
         self.rest = rest
 
-    def call(self, *, address: str, ask: JoinAsk, wait: timedelta) -> JoinReply:
-        told = {**self.rest, "part": ask.part, "parts": 2, "mark": 5 + ask.part, "claims": []}
+    def call(self, *, address: str, request: JoinAsk, wait: timedelta) -> JoinReply:
+        told = {**self.rest, "part": request.part, "parts": 2, "mark": 5 + request.part, "claims": []}
         return JoinReply(granted=True, mark=told["mark"], entries=[], snapshot=told)
 
 
@@ -487,7 +489,7 @@
     with playing(members=3, seed=SEED) as player:
         core = _core(player=player, place=0)
         joining = core.joining
-        joining.caller = _TwoMarks(rest=core.chain.state.snapshot().part(number=0))
+        joining.rpc_client = _TwoMarks(rest=core.chain.state.snapshot().part(number=0))
         if joining._fetch_snapshot(address="") is not None:
             yield "a snapshot of parts of two marks"
 
@@ -503,8 +505,8 @@
         self.replies = list(replies)
         self.asked: list[Any] = []
 
-    def call(self, *, address: str, ask: Any, wait: timedelta) -> Any:
-        self.asked.append(ask)
+    def call(self, *, address: str, request: Any, wait: timedelta) -> Any:
+        self.asked.append(request)
         after, reply = self.replies.pop(0) if self.replies else (SECOND, None)
         self.host.sleep(wait=after)
         if reply is None:
@@ -522,7 +524,7 @@
     with playing(members=3, seed=SEED) as player:
         core = _chain_cores(player=player)[0]
         replies = [(ms(300), _confirmed(core=core)), (ms(400), None)]
-        core.chain.caller = _Answers(host=core.host, replies=replies)
+        core.chain.rpc_client = _Answers(host=core.host, replies=replies)
         eventlet.spawn(core.chain._confirm_once)
         player.sleep(ms(100))
         # What its own task asks meanwhile gets no answer either.
@@ -530,7 +532,7 @@
             yield "a read confirmed by what was asked for before it began"
     with playing(members=3, seed=SEED) as player:
         core = _chain_cores(player=player)[0]
-        core.chain.caller = _Answers(host=core.host, replies=[(ZERO, _confirmed(core=core, ahead=5))])
+        core.chain.rpc_client = _Answers(host=core.host, replies=[(ZERO, _confirmed(core=core, ahead=5))])
         if core.chain.confirm():
             yield "a read confirmed for more than is held"
 
@@ -557,7 +559,7 @@
         head, middle, _ = _chain_cores(player=player)
         number = head.agreement.view.number
         reply = Appended(state="acked", mark=head.chain.synced)
-        head.chain.caller = _Answers(host=head.host, replies=[(ms(50), reply)])
+        head.chain.rpc_client = _Answers(host=head.host, replies=[(ms(50), reply)])
         eventlet.spawn(head.chain._push)
         player.sleep(ms(20))
         head.agreement.store.view = dataclasses.replace(head.agreement.view, number=number + 1)
@@ -565,10 +567,10 @@
         player.sleep(ms(100))
         if head.chain.acknowledged != (number + 1, 0) or head.chain.followed[0] == number + 1:
             yield "an acknowledgement under a former view counted under the present one"
-        middle.chain.caller = _Answers(host=middle.host, replies=[(ms(1), Appended(state="refused", mark=0))])
+        middle.chain.rpc_client = _Answers(host=middle.host, replies=[(ms(1), Appended(state="refused", mark=0))])
         middle.chain.followed = (number - 1, middle.chain.synced)
-        ask = Append(number=number, mark=middle.chain.synced, upto=middle.chain.synced, entries=[])
-        if middle.chain.on_append(ask=ask).state == "acked":
+        request = Append(number=number, mark=middle.chain.synced, upto=middle.chain.synced, entries=[])
+        if middle.chain.on_append(request=request).state == "acked":
             yield "a member passed on what its successor acknowledged under a former view"
 
 
@@ -576,12 +578,12 @@
     with playing(members=3, seed=SEED) as player:
         middle = _chain_cores(player=player)[1]
         middle.store.level = False
-        answers = middle.chain.caller = _Answers(host=middle.host, replies=[])
+        answers = middle.chain.rpc_client = _Answers(host=middle.host, replies=[])
         try:
             middle.chain._push()
         except OSError:
             pass
-        asks = [ask for ask in answers.asked if isinstance(ask, Append)]
+        asks = [request for request in answers.asked if isinstance(request, Append)]
         if asks[0].upto <= middle.chain.synced:
             yield "a member that is not level would bring its successor up"
 
--- a/tests/routes_test.py
+++ b/tests/routes_test.py
@@ -12,7 +12,7 @@
 
 
 def _table(*, routes: list[dict]) -> RouteTable:
-    return platform_adapter.PlatformAdapter().table(text=json.dumps(configuration(routes=routes)))
+    return platform_adapter.PlatformAdapter().parse_config(text=json.dumps(configuration(routes=routes)))
 
 
 def _routes() -> RouteTable:
@@ -108,7 +108,7 @@
     fields = configuration() | {"fresh": {"a": 1}}
     del fields["caps"]
     fields["rtab"][0]["fresh"] = 1
-    table = platform_adapter.PlatformAdapter().table(text=json.dumps(fields))
+    table = platform_adapter.PlatformAdapter().parse_config(text=json.dumps(fields))
     assert table.limits.header_bytes == 16384 and table.limits.idle == timedelta(seconds=15)
     assert table.version == 1 and set(table.services) == {"desk", "other"}
 
@@ -128,7 +128,7 @@
         ],
         "next": "p-50",
     }
-    return platform_adapter.PlatformAdapter().listed(body=json.dumps(listed).encode())
+    return platform_adapter.PlatformAdapter().parse_list(body=json.dumps(listed).encode())
 
 
 def test_a_page_of_the_list():
@@ -160,7 +160,7 @@
         left=timedelta(milliseconds=1234),
         urgency=12,
         reading=False,
-        memory=None,
+        kv_handle=None,
         last_event="7",
     )
     assert rows == [
@@ -177,7 +177,7 @@
 def test_headers_that_connection_names_concern_one_connection_only():
     sent = [("Host", "h"), ("Connection", "close, X-Hop"), ("X-Hop", "1"), ("X-Request-Id", "a")]
     rows = platform_adapter.PlatformAdapter().engine_headers(
-        headers=sent, engine=_entry()[0][0], left=timedelta(seconds=1), urgency=1, reading=False, memory=None,
+        headers=sent, engine=_entry()[0][0], left=timedelta(seconds=1), urgency=1, reading=False, kv_handle=None,
         last_event=None,
     )  # fmt: skip
     assert "X-Hop" not in dict(rows)
@@ -196,7 +196,7 @@
     ],
 )
 def test_only_an_engines_own_word_promises_that_it_did_not_run(status, headers, not_run, other):
-    told = platform_adapter.PlatformAdapter().told(status=status, headers=list(headers.items()))
+    told = platform_adapter.PlatformAdapter().parse_response(status=status, headers=list(headers.items()))
     assert (told.not_run, told.other_engine, told.sealed) == (not_run, other, "X-Seal" in headers)
 
 
@@ -205,18 +205,23 @@
         ("X-Request-Id", "a"), ("X-Model", "m"), ("X-Tokens", "1460,80"), ("X-Deadline-Ms", "8000"),
         ("X-Prompt-Prefix", "5c1e07a2:800, 91bd3f06:410,e4402b7d:250"), ("Last-Event-Id", "12"),
     ]  # fmt: skip
-    ask = platform_adapter.PlatformAdapter().ask(headers=headers)
-    assert [(part.name, part.tokens) for part in ask.parts] == [
+    ask = platform_adapter.PlatformAdapter().parse_request(headers=headers)
+    assert [(part.name, part.tokens) for part in ask.prefix_blocks] == [
         ("5c1e07a2", 800), ("91bd3f06", 410), ("e4402b7d", 250),
     ]  # fmt: skip
     assert (ask.tokens_in, ask.tokens_out, ask.last_event) == (1460, 80, "12")
     assert ask.deadline == timedelta(seconds=8)
-    bare = platform_adapter.PlatformAdapter().ask(
+    bare = platform_adapter.PlatformAdapter().parse_request(
         headers=[("X-Request-Id", "a"), ("X-Tokens", "x"), ("X-Deadline-Ms", "soon")]
     )
-    assert (bare.tokens_in, bare.parts, bare.deadline) == (0, (), None)
+    assert (bare.tokens_in, bare.prefix_blocks, bare.deadline) == (0, (), None)
 
 
 def test_what_the_adapter_writes_it_reads_back():
-    table = platform_adapter.PlatformAdapter().table(text=json.dumps(configuration()))
-    assert platform_adapter.PlatformAdapter().table(text=platform_adapter.PlatformAdapter().text(table=table)) == table
+    table = platform_adapter.PlatformAdapter().parse_config(text=json.dumps(configuration()))
+    assert (
+        platform_adapter.PlatformAdapter().parse_config(
+            text=platform_adapter.PlatformAdapter().render_config(table=table)
+        )
+        == table
+    )
--- a/tests/sends_test.py
+++ b/tests/sends_test.py
@@ -158,9 +158,9 @@
         world.start(name="peer", ip="10.2.0.1", site="hill", run=answer_twice)
         here = SimHost(world=world, name="here", machine=world.machine(ip="10.1.0.1", site="hill"))
         here.sleep(wait=ms(10))
-        with RpcClient(host=here) as caller:
+        with RpcClient(host=here) as rpc_client:
             for digest in ("a", "b", "c"):
-                told = caller.call(address="10.2.0.1:8166", ask=DirectoryAsk(digest=digest), wait=ms(500))
+                told = rpc_client.call(address="10.2.0.1:8166", request=DirectoryAsk(digest=digest), wait=ms(500))
                 assert told.digest == digest
 
 
@@ -175,7 +175,7 @@
 
 def nameless(self, *, record, answer, reading):
     """The look at an answer's head without the request's name."""
-    return "" if answer.told.not_run or answer.told.sealed else "it bears no seal"
+    return "" if answer.metadata.not_run or answer.metadata.sealed else "it bears no seal"
 
 
 def test_without_the_requests_name_anothers_refusal_would_be_believed(monkeypatch):
--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -237,7 +237,7 @@
 
     @contextlib.contextmanager
     def running(self) -> Iterator["Engine"]:
-        with TaskGroup(host=self.host) as crew, self.host.listen(address=self.address) as listener:
+        with TaskGroup(host=self.host) as task_group, self.host.listen(address=self.address) as listener:
             arrive = listener.arrive
 
             def note(*, stream: Any) -> None:
@@ -245,27 +245,29 @@
                 arrive(stream=stream)
 
             listener.arrive = note
-            self.crew = crew
+            self.task_group = task_group
             kept = ServedConnections()
             kept.limits = HeadLimits(size_bytes=HEAD_BYTES_MOST, idle=timedelta(seconds=6))
-            crew.keep(task=serve, host=self.host, listener=listener, site=self.site, connections=kept)
+            task_group.supervise(
+                task=serve, host=self.host, listener=listener, handler=self.handle_http, connections=kept
+            )
             yield self
 
-    def site(self, visit: HttpExchange) -> Iterable[bytes]:
-        if visit.path == HEALTH_PATH:
+    def handle_http(self, exchange: HttpExchange) -> Iterable[bytes]:
+        if exchange.path == HEALTH_PATH:
             self.record.probes += 1
             status = 200 if self.well and not self.leaving else 503
-            return visit.reply(status=status, fields={}, headers=[("X-Instance", self.engine)])
-        if visit.path == "/dockmux/report":
-            return visit.reply(status=200, fields=self._report())
-        if visit.path == "/dockmux/order":
-            return self._order(visit=visit)
-        if visit.path.startswith("/dockmux/kv-handle/"):
-            handle = visit.path.rpartition("/")[2]
+            return exchange.reply(status=status, fields={}, headers=[("X-Instance", self.engine)])
+        if exchange.path == "/dockmux/report":
+            return exchange.reply(status=200, fields=self._report())
+        if exchange.path == "/dockmux/order":
+            return self._order(exchange=exchange)
+        if exchange.path.startswith("/dockmux/kv-handle/"):
+            handle = exchange.path.rpartition("/")[2]
             self.record.freed.append((self.address, handle))
             found = self.record.memory.pop((self.address, handle), None)
-            return visit.reply(status=200 if found else 404, fields={})
-        return self._request(visit=visit)
+            return exchange.reply(status=200 if found else 404, fields={})
+        return self._request(exchange=exchange)
 
     def _report(self) -> dict[str, Any]:
         return {
@@ -273,26 +275,26 @@
             "seq": self.orders, "queued": 0, "active": self.active, "kv_used": 0, "kv_cap": 400_000, "kvhs": 0,
         }  # fmt: skip
 
-    def _order(self, *, visit: HttpExchange) -> list[bytes]:
-        fields = json.loads(visit.body(limitBytes=1 << 20) or b"{}")
+    def _order(self, *, exchange: HttpExchange) -> list[bytes]:
+        fields = json.loads(exchange.body(limitBytes=1 << 20) or b"{}")
         self.record.orders.append((self.host.world.now(), self.engine, fields))
         if "owner" not in fields or "fence" not in fields:
-            return visit.reply(status=400, fields={})
+            return exchange.reply(status=400, fields={})
         if fields.get("expect", self.orders) != self.orders:
-            return visit.reply(status=409, fields={})
-        if visit.header(name="X-Want-Instance") not in ("", self.engine):
-            return visit.reply(status=421, fields={})
+            return exchange.reply(status=409, fields={})
+        if exchange.header(name="X-Want-Instance") not in ("", self.engine):
+            return exchange.reply(status=421, fields={})
         if self.busy:
-            return visit.reply(status=409, fields={})
+            return exchange.reply(status=409, fields={})
         if fields["fence"] < self.fence:
-            return visit.reply(status=412, fields={})
+            return exchange.reply(status=412, fields={})
         self.fence = fields["fence"]
         if fields["phase"] == self.phase:
-            return visit.reply(status=200, fields={})
+            return exchange.reply(status=200, fields={})
         self.orders += 1
         self.busy = True
-        self.crew.start(task=self._change, phase=fields["phase"])
-        return visit.reply(status=202, fields={})
+        self.task_group.start(task=self._change, phase=fields["phase"])
+        return exchange.reply(status=202, fields={})
 
     def _change(self, *, phase: str) -> None:
         """What runs is let come to its end; handles stay."""
@@ -304,40 +306,46 @@
 
     # Requests.
 
-    def _request(self, *, visit: HttpExchange) -> Iterator[bytes]:
-        if self.faults.kind == "reset in send" and visit.header(name="X-Stage") == "" and self.faults.next(early=True):
+    def _request(self, *, exchange: HttpExchange) -> Iterator[bytes]:
+        if (
+            self.faults.kind == "reset in send"
+            and exchange.header(name="X-Stage") == ""
+            and self.faults.next(early=True)
+        ):
             # Only the request's head was taken off the connection.
-            reset(stream=self._socket(visit=visit))
+            reset(stream=self._socket(exchange=exchange))
             raise OSError("reset")
-        body = visit.body(limitBytes=1 << 24)
+        body = exchange.body(limitBytes=1 << 24)
         row = Arrival(
             at=self.host.world.now(), engine=self.engine, service=self.service,
-            request_id=visit.header(name="X-Request-Id"), what="queued", by=visit.environ["REMOTE_ADDR"],
-            target=visit.target, body=body or b"", headers={name.lower(): value for name, value in visit.headers},
-            stream=self._socket(visit=visit),
+            request_id=exchange.header(name="X-Request-Id"), what="queued", by=exchange.environ["REMOTE_ADDR"],
+            target=exchange.target, body=body or b"", headers={name.lower(): value for name, value in exchange.headers},
+            stream=self._socket(exchange=exchange),
         )  # fmt: skip
         self.record.note(row=row)
         early = "" if row.reading else self.faults.next(early=True)
         if early == "refusal doubled":
-            yield from self._turn_away_twice(visit=visit, row=row)
+            yield from self._turn_away_twice(exchange=exchange, row=row)
             return
-        refused = self._refused(visit=visit, row=row)
+        refused = self._refused(exchange=exchange, row=row)
         if refused is not None:
-            yield from self._turn_away(visit=visit, row=row, why=refused)
+            yield from self._turn_away(exchange=exchange, row=row, why=refused)
             return
         self.active += 1
         try:
             with self.slots:
-                yield from self._read(visit=visit, row=row) if row.reading else self._run(visit=visit, row=row)
+                yield from (
+                    self._read(exchange=exchange, row=row) if row.reading else self._run(exchange=exchange, row=row)
+                )
         finally:
             self.active -= 1
             row.ended = True
 
-    def _refused(self, *, visit: HttpExchange, row: Arrival) -> str | None:
+    def _refused(self, *, exchange: HttpExchange, row: Arrival) -> str | None:
         """Why it is not run; the memory that it names is taken at this moment, once."""
         if not row.request_id:
             return "no id"
-        if visit.header(name="X-Want-Instance") not in ("", self.engine):
+        if exchange.header(name="X-Want-Instance") not in ("", self.engine):
             return "another instance"
         if self.turning or self.busy:
             return "turned away"
@@ -345,7 +353,7 @@
             return "full"
         if row.reading != (self.phase == "prefill"):
             return "wrong stage"
-        source = visit.header(name="X-Kv-From")
+        source = exchange.header(name="X-Kv-From")
         if source:
             address, _, handle = source.partition("/")
             memory_of, lapses = self.record.memory.pop((address, handle), ("", timedelta()))
@@ -354,13 +362,13 @@
             row.memory_of = memory_of
         return None
 
-    def _turn_away(self, *, visit: HttpExchange, row: Arrival, why: str) -> list[bytes]:
+    def _turn_away(self, *, exchange: HttpExchange, row: Arrival, why: str) -> list[bytes]:
         row.what = why
         row.status = status = 421 if why in ("another instance", "wrong stage") else 400 if why == "no id" else 503
         headers = [("X-Request-Id", row.request_id)]
         if status != 421:
             headers.append(("X-Not-Run", "1"))
-        return visit.reply(status=status, fields={"why": why}, headers=headers)
+        return exchange.reply(status=status, fields={"why": why}, headers=headers)
 
     def _tokens(self, *, row: Arrival) -> tuple[int, int]:
         first, _, second = row.headers.get("x-tokens", "100,0").partition(",")
@@ -373,7 +381,7 @@
         self.host.sleep(wait=span)
         row.check_sender()
 
-    def _read(self, *, visit: HttpExchange, row: Arrival) -> Iterator[bytes]:
+    def _read(self, *, exchange: HttpExchange, row: Arrival) -> Iterator[bytes]:
         tokens, _ = self._tokens(row=row)
         row.what = "read"
         self._spend(row=row, span=ms(tokens / self.tokens_per_ms))
@@ -381,9 +389,9 @@
         hold = timedelta() if self.lapsing else self.hold
         self.record.memory[(self.address, handle)] = (row.request_id, self.host.world.now() + hold)
         fields = {"kvh": handle, "toks": tokens, "gen": 1}
-        yield from visit.reply(status=200, fields=fields, headers=[("X-Request-Id", row.request_id)])
+        yield from exchange.reply(status=200, fields=fields, headers=[("X-Request-Id", row.request_id)])
 
-    def _run(self, *, visit: HttpExchange, row: Arrival) -> Iterator[bytes]:
+    def _run(self, *, exchange: HttpExchange, row: Arrival) -> Iterator[bytes]:
         tokens, out = self._tokens(row=row)
         if row.memory_of:
             self.host.sleep(wait=MOVE)
@@ -392,10 +400,12 @@
         row.what = "run"
         fault = self.faults.next()
         row.status = 200
-        if fault in WIRE_FAULTS and not (yield from self._on_the_wire(visit=visit, row=row, fault=fault, count=out)):
+        if fault in WIRE_FAULTS and not (
+            yield from self._on_the_wire(exchange=exchange, row=row, fault=fault, count=out)
+        ):
             return
         if fault == "failure":
-            yield from self._fail(visit=visit, row=row)
+            yield from self._fail(exchange=exchange, row=row)
             return
         told_id, self.last = (self.last or "0000") if fault == "another's answer" else row.request_id, row.request_id
         headers = [("X-Request-Id", told_id), ("Keep-Alive", "timeout=5")]
@@ -404,11 +414,11 @@
         if fault == "encoded":
             headers.append(("Content-Encoding", "gzip"))
         if fault == "surplus":
-            self.crew.start(task=self._send_surplus, socket=self._socket(visit=visit), row=row, count=out)
+            self.task_group.start(task=self._send_surplus, socket=self._socket(exchange=exchange), row=row, count=out)
         if out == 0:
-            yield from self._plain(visit=visit, row=row, headers=headers, told_id=told_id, fault=fault)
+            yield from self._plain(exchange=exchange, row=row, headers=headers, told_id=told_id, fault=fault)
             return
-        visit.begin(status=200, headers=[("Content-Type", "text/event-stream"), *headers])
+        exchange.begin(status=200, headers=[("Content-Type", "text/event-stream"), *headers])
         after = int(row.headers.get("last-event-id", "0"))
         self.streams += 1
         try:
@@ -428,25 +438,25 @@
         if fault == "break off":
             raise OSError("breaks off")
 
-    def _fail(self, *, visit: HttpExchange, row: Arrival) -> Iterator[bytes]:
+    def _fail(self, *, exchange: HttpExchange, row: Arrival) -> Iterator[bytes]:
         """A failure of the engine's own, sealed as all its answers."""
         faults = self.faults
         row.status = faults.failure_status
         headers = [("X-Request-Id", row.request_id), ("X-Seal", f"{self.engine}.{row.request_id}")]
         if not faults.failure_chunked:
             headers.append(("Content-Length", str(len(faults.failure_body))))
-        visit.begin(status=faults.failure_status, headers=headers)
+        exchange.begin(status=faults.failure_status, headers=headers)
         if faults.failure_cut:
             yield faults.failure_body[: len(faults.failure_body) // 2]
             raise OSError("breaks off")
         yield faults.failure_body
 
     def _plain(
-        self, *, visit: HttpExchange, row: Arrival, headers: list[tuple[str, str]], told_id: str, fault: str
+        self, *, exchange: HttpExchange, row: Arrival, headers: list[tuple[str, str]], told_id: str, fault: str
     ) -> Iterator[bytes]:
         self.host.sleep(wait=ms(15))
         data = plain_body(request_id=told_id, body=row.body)
-        visit.begin(status=200, headers=[("Content-Length", str(len(data))), *headers])
+        exchange.begin(status=200, headers=[("Content-Length", str(len(data))), *headers])
         if fault.startswith("break off"):
             yield data[:100]
             raise OSError("breaks off")
@@ -456,28 +466,28 @@
             data = data[100:]
         yield data
 
-    def _turn_away_twice(self, *, visit: HttpExchange, row: Arrival) -> Iterator[bytes]:
+    def _turn_away_twice(self, *, exchange: HttpExchange, row: Arrival) -> Iterator[bytes]:
         data = head(status=503, row=row, length=0, lines=["X-Not-Run: 1", "Keep-Alive: timeout=5"])
-        self.crew.start(task=self._send_later, socket=self._socket(visit=visit), data=data)
+        self.task_group.start(task=self._send_later, socket=self._socket(exchange=exchange), data=data)
         self.last = row.request_id
-        yield from self._turn_away(visit=visit, row=row, why="turned away")
+        yield from self._turn_away(exchange=exchange, row=row, why="turned away")
 
     def _send_later(self, *, socket: Any, data: bytes) -> None:
         self.host.sleep(wait=self.faults.surplus_after)
         with contextlib.suppress(OSError):
             socket.sendall(data)
 
-    def _on_the_wire(self, *, visit: HttpExchange, row: Arrival, fault: str, count: int) -> Iterator[bytes]:
+    def _on_the_wire(self, *, exchange: HttpExchange, row: Arrival, fault: str, count: int) -> Iterator[bytes]:
         """Whether the ordinary answer follows; else whatever goes over the connection has gone."""
         yield from ()
-        socket = self._socket(visit=visit)
+        socket = self._socket(exchange=exchange)
         if fault == "late":
             row.status = 0
             self.host.sleep(wait=self.faults.late_by)
             row.status = 200
             return True
         if fault == "forgotten":
-            self.crew.start(task=self._forget, socket=socket, wait=self.pause * count + ms(30))
+            self.task_group.start(task=self._forget, socket=socket, wait=self.pause * count + ms(30))
             return True
         if fault.startswith("interim 1"):
             socket.sendall(f"HTTP/1.1 {fault.split()[1]} Hint\r\nLink: </a>\r\n\r\n".encode())
@@ -544,8 +554,8 @@
         self.host.sleep(wait=wait)
         forget(stream=socket)
 
-    def _socket(self, *, visit: HttpExchange) -> Any:
-        return self.sockets[(visit.environ["REMOTE_ADDR"], int(visit.environ["REMOTE_PORT"]))]
+    def _socket(self, *, exchange: HttpExchange) -> Any:
+        return self.sockets[(exchange.environ["REMOTE_ADDR"], int(exchange.environ["REMOTE_PORT"]))]
 
     def _send_surplus(self, *, socket: Any, row: Arrival, count: int) -> None:
         """More bytes on the connection, some time after the whole answer is there."""
--- a/tests/standins/engine_list.py
+++ b/tests/standins/engine_list.py
@@ -33,8 +33,8 @@
 
     @contextmanager
     def running(self) -> Iterator["EngineList"]:
-        with TaskGroup(host=self.host) as crew, self.host.listen(address=self.address) as listener:
-            crew.keep(task=serve, host=self.host, listener=listener, site=self.site)
+        with TaskGroup(host=self.host) as task_group, self.host.listen(address=self.address) as listener:
+            task_group.supervise(task=serve, host=self.host, listener=listener, handler=self.handle_http)
             yield self
 
     def add(self, *, engine: str, service: str, address: str, zone: str, phase: str, slots: int) -> None:
@@ -43,15 +43,15 @@
             "cold_left_ms": 0, "phase": phase, "models": [{"name": "m", "gen": 1, "loras": []}], "id": engine,
         }  # fmt: skip
 
-    def site(self, visit: HttpExchange) -> list[bytes]:
-        query = visit.environ.get("QUERY_STRING") or ""
+    def handle_http(self, exchange: HttpExchange) -> list[bytes]:
+        query = exchange.environ.get("QUERY_STRING") or ""
         page = query.partition("pg_tok=")[2]
-        self.calls.append(Call(at=self.host.world.now(), by=visit.environ["REMOTE_ADDR"], page=page))
+        self.calls.append(Call(at=self.host.world.now(), by=exchange.environ["REMOTE_ADDR"], page=page))
         self.host.sleep(wait=self.delay)
-        if self.failing or visit.path != "/engines":
-            return visit.reply(status=503 if self.failing else 404, fields={})
+        if self.failing or exchange.path != "/engines":
+            return exchange.reply(status=503 if self.failing else 404, fields={})
         first = int(page.removeprefix("p-") or 0)
         names = sorted(self.rows)
         insts = [self.rows[name] for name in names[first : first + self.page_size]]
         after = first + self.page_size
-        return visit.reply(status=200, fields={"insts": insts, "next": f"p-{after}" if after < len(names) else None})
+        return exchange.reply(status=200, fields={"insts": insts, "next": f"p-{after}" if after < len(names) else None})
--- a/tests/standins/fleet.py
+++ b/tests/standins/fleet.py
@@ -91,11 +91,13 @@
         def make(host: SimHost) -> Any:
             if rows["mclass"] == "core":
                 core = Core(host=host, settings=settings)
-                dialect = platform_adapter.PlatformAdapter()
-                core.operator_api = OperatorApi(core=core, dialect=dialect).site
-                core.duties.append(PhaseBalancer(core=core, deployment=deployment, dialect=dialect).run)
+                protocol = platform_adapter.PlatformAdapter()
+                core.operator_api = OperatorApi(core=core, protocol=protocol).handle_http
+                core.duties.append(PhaseBalancer(core=core, deployment=deployment, protocol=protocol).run)
                 return core
-            return Edge(host=host, settings=settings, deployment=deployment, dialect=platform_adapter.PlatformAdapter())
+            return Edge(
+                host=host, settings=settings, deployment=deployment, protocol=platform_adapter.PlatformAdapter()
+            )
 
         self._start(name=name, ip=rows["ip"], zone=rows["az"], make=make)
 
@@ -245,7 +247,7 @@
     def sound(self) -> None:
         """No task of a daemon failed, and orders kept their turns."""
         assert self.turns() == []
-        failed = [text for _, _, note, text in self.world.logged if note is LogEvent.TASK_FAILED]
+        failed = [text for _, _, log_event, text in self.world.logged if log_event is LogEvent.TASK_FAILED]
         assert not failed and not self.world.crashes, (failed, self.world.crashes)
 
     def head(self) -> str:
--- a/tests/standins/still.py
+++ b/tests/standins/still.py
@@ -25,6 +25,6 @@
     def pass_ms(self, count: float) -> None:
         self.now += ms(count)
 
-    def log(self, note: LogEvent, **fields: Any) -> None:
-        note.text(**fields)
-        self.logged.append(note)
+    def log(self, log_event: LogEvent, **fields: Any) -> None:
+        log_event.text(**fields)
+        self.logged.append(log_event)
--- a/tests/work_test.py
+++ b/tests/work_test.py
@@ -9,40 +9,40 @@
 
 def test_each_daemons_last_word_replaces_the_one_before():
     host = StillHost()
-    work = LoadTracker(host=host)
-    work.hear(daemon="a", works={"i-1": [400, 2], "i-2": [100, 1]})
-    work.hear(daemon="b", works={"i-1": [50, 3]})
-    assert (work.backlog(engine="i-1"), work.streams(engine="i-1")) == (ms(450), 5)
-    work.hear(daemon="a", works={"i-3": [30, 1]})
-    assert (work.backlog(engine="i-1"), work.streams(engine="i-1")) == (ms(50), 3)
-    assert (work.backlog(engine="i-2"), work.streams(engine="i-2")) == (ZERO, 0)
-    assert work.streams(engine="i-3") == 1
+    load_tracker = LoadTracker(host=host)
+    load_tracker.hear(daemon="a", works={"i-1": [400, 2], "i-2": [100, 1]})
+    load_tracker.hear(daemon="b", works={"i-1": [50, 3]})
+    assert (load_tracker.backlog(engine="i-1"), load_tracker.streams(engine="i-1")) == (ms(450), 5)
+    load_tracker.hear(daemon="a", works={"i-3": [30, 1]})
+    assert (load_tracker.backlog(engine="i-1"), load_tracker.streams(engine="i-1")) == (ms(50), 3)
+    assert (load_tracker.backlog(engine="i-2"), load_tracker.streams(engine="i-2")) == (ZERO, 0)
+    assert load_tracker.streams(engine="i-3") == 1
 
 
 def test_a_word_fades_and_lapses():
     host = StillHost()
-    work = LoadTracker(host=host)
-    work.hear(daemon="a", works={"i-1": [400, 2]})
+    load_tracker = LoadTracker(host=host)
+    load_tracker.hear(daemon="a", works={"i-1": [400, 2]})
     host.pass_ms(200)
-    assert work.backlog(engine="i-1") == ms(300)
+    assert load_tracker.backlog(engine="i-1") == ms(300)
     host.pass_ms(TOLD_FOR / ms(1))
-    assert (work.backlog(engine="i-1"), work.streams(engine="i-1")) == (ZERO, 0)
+    assert (load_tracker.backlog(engine="i-1"), load_tracker.streams(engine="i-1")) == (ZERO, 0)
 
 
 def test_daemons_that_are_gone_are_forgotten():
     host = StillHost()
-    work = LoadTracker(host=host)
+    load_tracker = LoadTracker(host=host)
     for daemon in ("a", "b"):
-        work.hear(daemon=daemon, works={"i-1": [100, 1]})
-    work.forget(live={"b"})
-    assert work.streams(engine="i-1") == 1
-    work.forget(live=set())
-    assert work.streams(engine="i-1") == 0 and not work.told and not work.summaries
+        load_tracker.hear(daemon=daemon, works={"i-1": [100, 1]})
+    load_tracker.forget(live={"b"})
+    assert load_tracker.streams(engine="i-1") == 1
+    load_tracker.forget(live=set())
+    assert load_tracker.streams(engine="i-1") == 0 and not load_tracker.told and not load_tracker.summaries
 
 
 def test_own_work_counts_as_long_as_it_lasts():
-    work = LoadTracker(host=StillHost())
-    with work.reading(engine="i-1", span=ms(80)), work.streaming(engine="i-1"):
-        assert (work.backlog(engine="i-1"), work.streams(engine="i-1")) == (ms(80), 1)
-        assert work.summary() == {"i-1": [80, 1]}
-    assert work.backlog(engine="i-1") == timedelta() and work.summary() == {}
+    load_tracker = LoadTracker(host=StillHost())
+    with load_tracker.reading(engine="i-1", span=ms(80)), load_tracker.streaming(engine="i-1"):
+        assert (load_tracker.backlog(engine="i-1"), load_tracker.streams(engine="i-1")) == (ms(80), 1)
+        assert load_tracker.summary() == {"i-1": [80, 1]}
+    assert load_tracker.backlog(engine="i-1") == timedelta() and load_tracker.summary() == {}
