--- a/dockmux/clock/__init__.py
+++ b/dockmux/clock/__init__.py
@@ -1,1 +1,1 @@
-"""The gossiped clock and the list of live peers."""
+"""Clock synchronization by gossip, and the table of live peers."""
--- a/dockmux/control/chain_replica.py
+++ b/dockmux/control/chain_replica.py
@@ -6,7 +6,7 @@
 
 from eventlet.event import Event
 
-from dockmux.clock.gossip import Gossip
+from dockmux.clock.gossip_endpoint import GossipEndpoint
 from dockmux.control.replica_store import ReplicaStore
 from dockmux.control.sessions import Sessions, Shared
 from dockmux.control.state import State
@@ -77,7 +77,7 @@
         settings: Settings,
         store: ReplicaStore,
         agreement: ViewAgreement,
-        gossip: Gossip,
+        gossip: GossipEndpoint,
         rpc_client: RpcClient,
     ) -> None:
         self.host = host
@@ -254,7 +254,7 @@
     def _judge(self, *, write: Write, planned: State) -> Outcome | None:
         """Why a change is refused; None when it is taken. Fills in what only the head can know."""
         change = write.change
-        nowUs = instant_us(self.gossip.clock.use())
+        nowUs = instant_us(self.gossip.clock.issue_time())
         if change["kind"] == "config":
             refused = judge_version(change=change, planned=planned)
             if refused is not None:
--- a/dockmux/control/core.py
+++ b/dockmux/control/core.py
@@ -7,14 +7,14 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.clock.gossip import Gossip
-from dockmux.clock.peers import Peers, members_digest
+from dockmux.clock.gossip_endpoint import GossipEndpoint
+from dockmux.clock.peer_table import PeerTable, members_digest
 from dockmux.control.chain_replica import ChainReplica
 from dockmux.control.engine_scheduler import EngineScheduler
 from dockmux.control.joining import Joining
 from dockmux.control.replica_store import ReplicaStore
 from dockmux.control.view_agreement import ViewAgreement
-from dockmux.gossip.spread import Spread
+from dockmux.gossip.usage_gossip import UsageGossip
 from dockmux.runtime import metrics, schemas
 from dockmux.runtime.config_tree import explain, validate
 from dockmux.runtime.engine_connections import EngineConnectionPool
@@ -58,7 +58,7 @@
             name=settings.name, role="core", site=settings.site, address=settings.address,
             http=settings.http, incarnation=incarnation, ageMs=0,
         )  # fmt: skip
-        self.peers = Peers(host=host, settings=settings, card=card)
+        self.peers = PeerTable(host=host, settings=settings, card=card)
         self.digest, self.digest_at = "", -DIGEST_KEPT
         # Further tasks of this daemon, which look at the permit themselves.
         self.duties: list[Callable[[], None]] = []
@@ -81,7 +81,7 @@
             TaskGroup(host=host) as task_group,
         ):
             self.task_group, self.rpc_client = task_group, rpc_client
-            self.gossip = Gossip(host=host, settings=settings, peers=self.peers, port=port)
+            self.gossip = GossipEndpoint(host=host, settings=settings, peers=self.peers, port=port)
             self.agreement = ViewAgreement(
                 host=host,
                 settings=settings,
@@ -98,11 +98,15 @@
             joining = self.joining = Joining(
                 host=host, store=self.store, agreement=agreement, chain=chain, rpc_client=rpc_client
             )
-            self.spread = Spread(
-                host=host, settings=settings, gossip=self.gossip, task_group=task_group, follower=chain.state
+            self.usage_gossip = UsageGossip(
+                host=host, settings=settings, gossip=self.gossip, task_group=task_group, engine_list=chain.state
             )
             scheduler = EngineScheduler(
-                host=host, agreement=agreement, connection_pool=connection_pool, chain=chain, table=self.spread.table
+                host=host,
+                agreement=agreement,
+                connection_pool=connection_pool,
+                chain=chain,
+                table=self.usage_gossip.table,
             )
             rpc_server = RpcServer(
                 host=host,
@@ -121,9 +125,9 @@
                 },
             )
             for task in (
-                rpc_server.run, self.gossip.run_receiving, self.gossip.run_asking, agreement.run_grants,
+                rpc_server.run, self.gossip.run_receiving, self.gossip.run_clock_exchanges, agreement.run_grants,
                 agreement.run_mending, chain.run_head, chain.run_confirming, joining.run, chain.run_upkeep,
-                self.spread.run, self.run_duties, scheduler.run,
+                self.usage_gossip.run, self.run_duties, scheduler.run,
             ):  # fmt: skip
                 task_group.supervise(task=task)
             for duty in self.duties:
@@ -150,7 +154,7 @@
             if not (self.agreement.is_head() and self.agreement.holds_lease()):
                 waiting_since = None
                 if clock.hops == 0:
-                    clock.follow()
+                    clock.stop_being_source()
                     self.host.log(LogEvent.SOURCE_LEFT)
                 continue
             mark = self.agreement.view.number
@@ -158,16 +162,16 @@
                 continue
             waiting_since = self.host.elapsed() if waiting_since is None else waiting_since
             waited = self.host.elapsed() - waiting_since
-            if not clock.synchronized and waited < JOIN_PATIENCE and not self.gossip.nobody_has_the_time():
+            if not clock.synchronized and waited < JOIN_PATIENCE and not self.gossip.all_peers_unsynchronized():
                 continue  # Somebody may still have it: two times under one mark would lie apart.
-            clock.lead(mark=mark, not_before=self.chain.planned.latest_time())
+            clock.become_source(mark=mark, not_before=self.chain.planned.latest_time())
             self.host.log(LogEvent.SOURCE_TAKEN, mark=mark)
 
     # News for data daemons.
 
     def _members(self) -> list[PeerCard]:
-        cores = [card for card in self.peers.live() if card.role == "core"]
-        return [*self.chain.sessions.standing(), *cores, self.peers.me()]
+        cores = [card for card in self.peers.live_cards_with_age() if card.role == "core"]
+        return [*self.chain.sessions.standing(), *cores, self.peers.own_card()]
 
     def _members_digest(self) -> str:
         """Worked out anew once in a while, for as many ask as there are members."""
--- a/dockmux/control/engine_scheduler.py
+++ b/dockmux/control/engine_scheduler.py
@@ -8,7 +8,7 @@
 import urllib3.exceptions
 
 from dockmux.control.view_agreement import ViewAgreement
-from dockmux.gossip.usage import FRESH
+from dockmux.gossip.usage_table import USAGE_TTL
 from dockmux.runtime.engine_connections import EngineConnectionPool
 from dockmux.runtime.host import Host, time_limit
 from dockmux.runtime.log_events import LogEvent
@@ -129,7 +129,7 @@
         self.host.sleep(wait=self.agreement.lease + TICK / 5)
         if self._in_charge():
             self._order(move=move)
-        self.host.sleep(wait=FRESH + TICK / 5)
+        self.host.sleep(wait=USAGE_TTL + TICK / 5)
         self.busy[name] = 0.0
         self.chain.write(change={"kind": "moved", "engine": name})
 
--- a/dockmux/control/view_agreement.py
+++ b/dockmux/control/view_agreement.py
@@ -7,7 +7,7 @@
 
 from eventlet.semaphore import Semaphore
 
-from dockmux.clock.peers import Peers
+from dockmux.clock.peer_table import PeerTable
 from dockmux.control.replica_store import ReplicaStore
 from dockmux.runtime import codec
 from dockmux.runtime.condition import Condition
@@ -74,7 +74,7 @@
         host: Host,
         settings: Settings,
         store: ReplicaStore,
-        peers: Peers,
+        peers: PeerTable,
         rpc_client: RpcClient,
         task_group: TaskGroup,
     ) -> None:
@@ -120,7 +120,7 @@
         return self.member() and self.view.chain[-1] == self.me
 
     def cores(self) -> list[PeerCard]:
-        return [card for card in self.peers.standing() if card.role == "core"]
+        return [card for card in self.peers.live_cards() if card.role == "core"]
 
     def address(self, *, disk: str) -> str | None:
         for card in self.cores():
@@ -416,7 +416,7 @@
     def _founders(self) -> Founders | None:
         """As many as are to found it, seeds first; None while too few, or not every seed, have been heard. All cores
         have the same seeds, so all agree on the one that proposes, whoever else they have heard of by then."""
-        heard = {card.address: card for card in self.peers.standing()}
+        heard = {card.address: card for card in self.peers.live_cards()}
         if any(seed not in heard and seed != self.settings.address for seed in self.settings.seeds):
             return None
         disks = {card.address: card.disk for card in heard.values() if card.role == "core" and card.disk}
--- a/dockmux/gossip/__init__.py
+++ b/dockmux/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Usage summaries of the engines, spread among the daemons."""
+"""Gossip of engine load between the daemons."""
--- a/dockmux/native_proxy/edge.py
+++ b/dockmux/native_proxy/edge.py
@@ -9,9 +9,9 @@
 
 import urllib3.exceptions
 
-from dockmux.clock.gossip import Gossip
-from dockmux.clock.peers import Peers
-from dockmux.gossip.spread import Spread
+from dockmux.clock.gossip_endpoint import GossipEndpoint
+from dockmux.clock.peer_table import PeerTable
+from dockmux.gossip.usage_gossip import UsageGossip
 from dockmux.native_proxy.follower import Follower
 from dockmux.native_proxy.request_record import RequestRecord, Step, not_refused
 from dockmux.native_proxy.stages import BUCKETS
@@ -52,7 +52,7 @@
             name=settings.name, role="edge", site=settings.site, address=settings.address,
             http=settings.http, incarnation=self.incarnation, ageMs=0,
         )  # fmt: skip
-        self.peers = Peers(host=host, settings=settings, card=card)
+        self.peers = PeerTable(host=host, settings=settings, card=card)
         self.holder = f"{settings.http} {self.incarnation}"
         self.draining = False
 
@@ -68,24 +68,25 @@
             TaskGroup(host=host) as task_group,
         ):
             self.task_group = task_group
-            self.gossip = Gossip(host=host, settings=settings, peers=self.peers, port=port)
+            self.gossip = GossipEndpoint(host=host, settings=settings, peers=self.peers, port=port)
             self.follower = Follower(host=host, settings=settings, gossip=self.gossip, rpc_client=rpc_client)
-            self.spread = Spread(
+            self.usage_gossip = UsageGossip(
                 host=host,
                 settings=settings,
                 gossip=self.gossip,
                 task_group=task_group,
                 connection_pool=connection_pool,
-                follower=self.follower,
+                engine_list=self.follower,
             )
             self.table = Table(
-                host=host, settings=settings, gossip=self.gossip, follower=self.follower, spread=self.spread,
-                connection_pool=connection_pool, rpc_client=rpc_client, task_group=task_group, holder=self.holder,
+                host=host, settings=settings, gossip=self.gossip, follower=self.follower,
+                usage_gossip=self.usage_gossip, connection_pool=connection_pool, rpc_client=rpc_client,
+                task_group=task_group, holder=self.holder,
             )  # fmt: skip
             rpc_server = RpcServer(host=host, listener=listener, answers={NewsAsk: self.follower.on_news})
             for task in (
-                rpc_server.run, self.gossip.run_receiving, self.gossip.run_asking, self.follower.run,
-                self.spread.run, self.table.run,
+                rpc_server.run, self.gossip.run_receiving, self.gossip.run_clock_exchanges, self.follower.run,
+                self.usage_gossip.run, self.table.run,
             ):  # fmt: skip
                 task_group.supervise(task=task)
             task_group.supervise(task=serve, host=host, listener=web_listener, handler=self.handle_http)
@@ -114,7 +115,7 @@
                 "ready": self.follower.current() is not None,
                 "permitted": self.follower.permitted(),
                 "clock_bound_seconds": self.gossip.clock.bound().total_seconds(),
-                "peers": len(self.peers.standing()),
+                "peers": len(self.peers.live_cards()),
                 "tasks_failed": self.task_group.failed,
             }
             staged = self.table.stages()
@@ -214,7 +215,7 @@
         leftMs = min(values["horizonMs"], body.get("horizonMs", values["horizonMs"]))
         fresh = RequestRecord(
             lane=lane, identity=identity, repeat=repeat, body=body, arrived=self.host.elapsed(),
-            horizon=self.gossip.clock.use() + ms(leftMs), mark=config.mark, values=values, first_piece=first,
+            horizon=self.gossip.clock.issue_time() + ms(leftMs), mark=config.mark, values=values, first_piece=first,
         )  # fmt: skip
         known = self.table.records.get(fresh.key)
         if known is not None:
@@ -236,7 +237,7 @@
         if self.table.open >= self.settings.record_limit:
             return Outcome(kind=OutcomeKind.BUSY, detail={"why": "too many requests are open here"})
         if not any(
-            engine["service"] == values["service"] and self.spread.table.fresh(engine=engine["engine"])
+            engine["service"] == values["service"] and self.usage_gossip.table.recent(engine=engine["engine"])
             for engine in self.follower.engines
         ):
             return Outcome(kind=OutcomeKind.NO_ENGINE, detail={"service": values["service"]})
@@ -305,7 +306,7 @@
         try:
             with HttpClientConnection(host=self.host, address=address, wait=ATTACH_LIMIT) as stream:
                 stream.connect()
-                stream.timeout = max((record.horizon - self.gossip.clock.use()).total_seconds(), 0.1)
+                stream.timeout = max((record.horizon - self.gossip.clock.issue_time()).total_seconds(), 0.1)
                 headers = {"Idempotency-Key": record.identity, "Dockmux-Attach": "1"}
                 response = stream.call(method="POST", path=f"/lanes/{record.lane}", fields=record.body, headers=headers)
                 if response.status != 200:
@@ -346,7 +347,7 @@
                     "queued": usage.queued, "leaving": usage.leaving, "reachable": usage.reachable,
                     "ageMs": usage.ageMs,
                 }
-                for usage in self.spread.table.summary()
+                for usage in self.usage_gossip.table.summary()
             ],
             "tasks_failed": self.task_group.failed,
         }  # fmt: skip
--- a/dockmux/native_proxy/follower.py
+++ b/dockmux/native_proxy/follower.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.clock.gossip import Gossip
+from dockmux.clock.gossip_endpoint import GossipEndpoint
 from dockmux.runtime.config import CONFIGS_KEPT, Config, config_from
 from dockmux.runtime.host import Host
 from dockmux.runtime.log_events import LogEvent
@@ -28,7 +28,7 @@
       that does not know the mark must have stopped.
     """
 
-    def __init__(self, *, host: Host, settings: Settings, gossip: Gossip, rpc_client: RpcClient) -> None:
+    def __init__(self, *, host: Host, settings: Settings, gossip: GossipEndpoint, rpc_client: RpcClient) -> None:
         self.host = host
         self.settings = settings
         self.gossip = gossip
@@ -54,7 +54,7 @@
         the fleet goes from one to the next."""
         if not self.permitted() or not self.gossip.ready():
             return None
-        now = self.gossip.clock.use()
+        now = self.gossip.clock.issue_time()
         bound = self.gossip.clock.bound()
         chosen = None
         for config in self.configs:
@@ -71,7 +71,7 @@
         """The monotonic time up to which a leg sent now may reach its engine: while the configuration in use surely
         holds, and a little longer, which the quarter second of rule 8 allows."""
         until = self.until
-        now = self.gossip.clock.use()
+        now = self.gossip.clock.issue_time()
         for config in self.configs:
             if config.activate > now:
                 until = min(until, self.host.elapsed() + (config.activate - now))
@@ -82,7 +82,7 @@
         """Asks a control daemon with the mark that it has, for ever; a peer when none can be reached."""
         core = ""
         while True:
-            cores = sorted(card.address for card in self.gossip.peers.standing() if card.role == "core")
+            cores = sorted(card.address for card in self.gossip.peers.live_cards() if card.role == "core")
             if core not in cores:
                 core = self.host.random.choice(cores) if cores else ""
             if not core or not self._ask(address=core, holdMs=HOLD_MS):
@@ -95,7 +95,7 @@
 
     def _ask(self, *, address: str, holdMs: int) -> bool:
         sent = self.host.elapsed()
-        request = NewsAsk(mark=self.mark, holdMs=holdMs, sender=self.gossip.peers.me())
+        request = NewsAsk(mark=self.mark, holdMs=holdMs, sender=self.gossip.peers.own_card())
         try:
             reply = self.rpc_client.call(address=address, request=request, wait=ASK_LIMIT)
         except OSError:
@@ -106,7 +106,7 @@
         return True
 
     def _ask_a_peer(self) -> None:
-        edges = [card.address for card in self.gossip.peers.standing() if card.role == "edge"]
+        edges = [card.address for card in self.gossip.peers.live_cards() if card.role == "edge"]
         if edges:
             self._ask(address=self.host.random.choice(edges), holdMs=0)
 
--- a/dockmux/native_proxy/legs.py
+++ b/dockmux/native_proxy/legs.py
@@ -113,7 +113,7 @@
                 if told["n"] != expected or told["request"] != record.key:
                     raise Broken(f"piece {told['n']} came where {expected} was due")
                 expected += 1
-                record.add(text=told["text"], stampUs=instant_us(self.clock.use()))
+                record.add(text=told["text"], stampUs=instant_us(self.clock.issue_time()))
         raise Broken("the answer was cut")
 
     def _refused(self, *, response: Any, told: Any) -> None:
@@ -128,7 +128,7 @@
         return _Sending(legs=self, record=record, engine=engine, leg=leg)
 
     def _ask(self, *, record: RequestRecord, stream: Any, path: str, fields: dict[str, Any]) -> Any:
-        left = record.horizon - self.clock.use()
+        left = record.horizon - self.clock.issue_time()
         packed = {
             "request": record.key,
             "lane": record.lane,
@@ -172,7 +172,7 @@
             self.opened.__exit__(None, None, None)
             raise NotSent("not allowed any more")
         clock = self.legs.clock
-        return stream, self.record.horizon - clock.use() - clock.bound()
+        return stream, self.record.horizon - clock.issue_time() - clock.bound()
 
     def __exit__(self, kind: Any, error: Any, trace: Any) -> bool:
         self.opened.__exit__(None, None, None)
--- a/dockmux/native_proxy/table.py
+++ b/dockmux/native_proxy/table.py
@@ -3,8 +3,8 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.clock.gossip import Gossip
-from dockmux.gossip.spread import Spread
+from dockmux.clock.gossip_endpoint import GossipEndpoint
+from dockmux.gossip.usage_gossip import UsageGossip
 from dockmux.native_proxy.assign import Offer, assign
 from dockmux.native_proxy.budget import Budget, Sent
 from dockmux.native_proxy.follower import Follower
@@ -49,14 +49,14 @@
     """
 
     def __init__(
-        self, *, host: Host, settings: Settings, gossip: Gossip, follower: Follower, spread: Spread,
+        self, *, host: Host, settings: Settings, gossip: GossipEndpoint, follower: Follower, usage_gossip: UsageGossip,
         connection_pool: EngineConnectionPool, rpc_client: RpcClient, task_group: TaskGroup, holder: str,
     ) -> None:  # fmt: skip
         self.host = host
         self.settings = settings
         self.gossip = gossip
         self.follower = follower
-        self.spread = spread
+        self.usage_gossip = usage_gossip
         self.rpc_client = rpc_client
         self.task_group = task_group
         self.holder = holder
@@ -109,7 +109,7 @@
 
     def expire(self) -> None:
         """Stop at now + bound: whoever is past its horizon has its final outcome at once."""
-        now = self.gossip.clock.use() + self.gossip.clock.bound()
+        now = self.gossip.clock.issue_time() + self.gossip.clock.bound()
         for record in self._open_records():
             if now >= record.horizon:
                 kind = OutcomeKind.UNKNOWN if record.sent else OutcomeKind.LATE
@@ -124,7 +124,7 @@
     def shed(self) -> None:
         """Who will not be answered in time is given up now, not at its horizon: in the order in which engines are
         assigned, each is reckoned to wait for those before it."""
-        now = self.gossip.clock.use() + self.gossip.clock.bound()
+        now = self.gossip.clock.issue_time() + self.gossip.clock.bound()
         perSecond = self.pace.perSecond(journal=self.journal, now=self.host.elapsed())
         waiting = sorted((r for r in self._open_records() if r.step in WAITING), key=_order)
         for place, record in enumerate(waiting):
@@ -182,7 +182,7 @@
     def _offers(self, *, service: str, phase: str) -> list[Offer]:
         offers = []
         for engine in self.follower.engines:
-            usage = self.spread.table.fresh(engine=engine["engine"])
+            usage = self.usage_gossip.table.recent(engine=engine["engine"])
             begun = self.own.get(engine["engine"], [])
             if (
                 engine["service"] == service
@@ -194,7 +194,7 @@
                 and engine["engine"] not in self.follower.moving
                 and len(begun) < self.settings.engine_streams
             ):
-                looked = self.spread.table.seen[engine["engine"]]
+                looked = self.usage_gossip.table.observed_at[engine["engine"]]
                 own = sum(at > looked for at in begun)
                 offers.append(Offer(engine=engine, usage=usage, own=own))
         return offers
@@ -212,7 +212,7 @@
 
     def _claim(self, *, record: RequestRecord) -> None:
         change = {"kind": "claim", "key": record.key, "holder": self.holder}
-        cores = sorted(card.address for card in self.gossip.peers.standing() if card.role == "core")
+        cores = sorted(card.address for card in self.gossip.peers.live_cards() if card.role == "core")
         kind, detail = OutcomeKind.NOT_READY, {"why": "no core can be reached"}
         if cores:
             try:
@@ -246,7 +246,7 @@
         if config is None or record.outcome is not None:
             return False
         clock = self.gossip.clock
-        if clock.use() + clock.bound() >= record.horizon:
+        if clock.issue_time() + clock.bound() >= record.horizon:
             return False
         values = resolve(tree=config.tree, lane=record.lane, site=self.settings.site)
         if values is None:
@@ -260,7 +260,7 @@
             e["engine"] == engine["engine"] and e["address"] == engine["address"] and not e.get("leaving")
             for e in self.follower.engines
         )
-        usage = self.spread.table.fresh(engine=engine["engine"])
+        usage = self.usage_gossip.table.recent(engine=engine["engine"])
         listed = listed and engine["engine"] not in self.follower.moving
         if not listed or engine["service"] != record.values["service"] or usage is None or usage.leaving:
             return False
--- a/dockmux/platform_proxy/dispatcher.py
+++ b/dockmux/platform_proxy/dispatcher.py
@@ -178,7 +178,7 @@
             return True
         clock = self.clock
         bound = clock.bound()
-        time = clock.use() if clock.synchronized else None
+        time = clock.issue_time() if clock.synchronized else None
         return self.budget.take(
             service=record.service, daemons=self.daemons(), now=self.host.elapsed(), time=time, bound=bound
         )  # fmt: skip
--- a/dockmux/platform_proxy/edge.py
+++ b/dockmux/platform_proxy/edge.py
@@ -4,8 +4,8 @@
 from collections.abc import Iterable, Iterator
 from datetime import timedelta
 
-from dockmux.clock.gossip import Gossip
-from dockmux.clock.peers import Peers
+from dockmux.clock.gossip_endpoint import GossipEndpoint
+from dockmux.clock.peer_table import PeerTable
 from dockmux.platform_proxy.budget import Budget
 from dockmux.platform_proxy.connections import Connections
 from dockmux.platform_proxy.deployment import Deployment
@@ -60,7 +60,7 @@
             name=settings.name, role="edge", site=settings.site, address=settings.address, http=settings.http,
             incarnation=f"{host.random.getrandbits(64):016x}", ageMs=0,
         )  # fmt: skip
-        self.peers = Peers(host=host, settings=settings, card=card)
+        self.peers = PeerTable(host=host, settings=settings, card=card)
 
     @contextlib.contextmanager
     def running(self) -> Iterator["Edge"]:
@@ -75,7 +75,7 @@
             TaskGroup(host=host) as task_group,
         ):
             self.task_group, self.rpc_client, self.connections = task_group, rpc_client, connections
-            self.gossip = Gossip(host=host, settings=settings, peers=self.peers, port=port)
+            self.gossip = GossipEndpoint(host=host, settings=settings, peers=self.peers, port=port)
             self.tracker = Tracker(host=host, gossip=self.gossip, rpc_client=rpc_client, protocol=self.protocol)
             self.directory = Directory(host=host, deployment=deployment, protocol=self.protocol)
             self.verdicts = Verdicts(host=host)
@@ -92,7 +92,7 @@
                 host=host, protocol=self.protocol, tracker=self.tracker, directory=self.directory,
                 dispatcher=self.dispatcher, verdicts=self.verdicts, budget=self.budget,
             )  # fmt: skip
-            self.gossip.keeps_works = True
+            self.gossip.collects_work_messages = True
             self.fetching = False
             self.looking: set[str] = set()
             rpc_server = RpcServer(
@@ -101,8 +101,8 @@
                 answers={NewsAsk: self.tracker.on_news, DirectoryAsk: self.on_directory},
             )
             for task in (
-                rpc_server.run, self.gossip.run_receiving, self.gossip.run_asking, self.tracker.run, self.run_passes,
-                self.run_list,
+                rpc_server.run, self.gossip.run_receiving, self.gossip.run_clock_exchanges, self.tracker.run,
+                self.run_passes, self.run_list,
             ):  # fmt: skip
                 task_group.supervise(task=task)
             task_group.supervise(
@@ -141,7 +141,7 @@
                 "open": self.table.open,
                 "ready": self.is_ready(),
                 "clock_bound_seconds": self.gossip.clock.bound().total_seconds(),
-                "peers": len(self.peers.standing()),
+                "peers": len(self.peers.live_cards()),
                 "engines": len(self.directory.rows),
                 "list_age_seconds": min(self.directory.age.total_seconds(), 1e6),
                 "connections_made": self.connections.made,
@@ -160,14 +160,14 @@
             "engines": len(self.directory.rows),
             "failing": sorted(e for e in self.directory.rows if self.verdicts.failing(engine=e)),
             "list_age_ms": min(to_ms(self.directory.age), 86_400_000),
-            "peers": [card.name for card in self.peers.standing()],
+            "peers": [card.name for card in self.peers.live_cards()],
             "clock": self.gossip.report(),
         }
 
     # Together with the other daemons.
 
     def edges(self) -> list[PeerCard]:
-        return [card for card in self.peers.standing() if card.role == "edge"]
+        return [card for card in self.peers.live_cards() if card.role == "edge"]
 
     def daemons(self) -> int:
         """How many share what the fleet shares."""
@@ -206,11 +206,11 @@
             self.served.limits = HeadLimits(size_bytes=limits.header_bytes, span=limits.header, idle=limits.idle)
 
     def _hear(self) -> None:
-        self.gossip.summaries.clear()
-        moving, self.gossip.moving[:] = list(self.gossip.moving), []
+        self.gossip.usage_summaries.clear()
+        moving, self.gossip.moving_notices[:] = list(self.gossip.moving_notices), []
         for arrived, message in moving:
             self.dispatcher.moving[message.engine] = (message.phase, arrived + ms(message.left_ms))
-        heard, self.gossip.works[:] = list(self.gossip.works), []
+        heard, self.gossip.work_summaries[:] = list(self.gossip.work_summaries), []
         for arrived, summary in heard:
             name = summary.sender.name
             self.load_tracker.hear(daemon=name, works=summary.works)
@@ -232,7 +232,7 @@
         known = bool(directory.rows)
         delta = directory.delta if everyone and directory.delta and directory.delta["from"] else None
         summary = WorkSummary(
-            sender=self.peers.me(), mark=self.tracker.mark, works=works,
+            sender=self.peers.own_card(), mark=self.tracker.mark, works=works,
             list_digest=directory.digest if known else "", list_age_ms=min(to_ms(directory.age), 86_400_000),
             list_origin=directory.origin, list_delta=delta, verdicts=self.verdicts.told(),
             spent=self.budget.told(), peers=[],
--- a/dockmux/platform_proxy/phase_balancer.py
+++ b/dockmux/platform_proxy/phase_balancer.py
@@ -94,7 +94,7 @@
         )
 
     def run(self) -> None:
-        self.core.gossip.keeps_works = True
+        self.core.gossip.collects_work_messages = True
         with Connections(host=self.host) as connections:
             while True:
                 self.host.sleep(wait=TICK)
@@ -104,7 +104,7 @@
                     self._balance(connections=connections)
 
     def _hear(self) -> None:
-        works = self.core.gossip.works
+        works = self.core.gossip.work_summaries
         heard, works[:] = list(works), []
         for _, summary in heard:
             self.load_tracker.hear(daemon=summary.sender.name, works=summary.works)
@@ -212,9 +212,11 @@
 
     def _tell(self, *, engine: EngineEntry, phase: str, left: timedelta) -> None:
         """Datagrams may be lost: told twice."""
-        message = Moving(sender=self.core.peers.me(), engine=engine.engine, phase=phase, left_ms=to_ms(left))
+        message = Moving(sender=self.core.peers.own_card(), engine=engine.engine, phase=phase, left_ms=to_ms(left))
         send: Callable[..., None] = self.core.gossip.send
         for _ in range(2):
-            for card in {c.address: c for c in self.core.peers.live() + self.core.chain.sessions.standing()}.values():
+            for card in {
+                c.address: c for c in self.core.peers.live_cards_with_age() + self.core.chain.sessions.standing()
+            }.values():
                 if card.role == "edge":
                     send(address=card.address, message=message)
--- a/dockmux/platform_proxy/tracker.py
+++ b/dockmux/platform_proxy/tracker.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.clock.gossip import Gossip
+from dockmux.clock.gossip_endpoint import GossipEndpoint
 from dockmux.platform_proxy.protocol_adapter import ProtocolAdapter
 from dockmux.platform_proxy.routes import RouteTable
 from dockmux.runtime.condition import Condition
@@ -26,7 +26,7 @@
     whatever is told of was acknowledged, so it is used as soon as it is known. Out of touch with the control plane
     the last one stays in use."""
 
-    def __init__(self, *, host: Host, gossip: Gossip, rpc_client: RpcClient, protocol: ProtocolAdapter) -> None:
+    def __init__(self, *, host: Host, gossip: GossipEndpoint, rpc_client: RpcClient, protocol: ProtocolAdapter) -> None:
         self.host = host
         self.gossip = gossip
         self.rpc_client = rpc_client
@@ -46,7 +46,7 @@
 
     def cores(self) -> list[str]:
         """Control daemons: those that are known to live; the seeds while there are none."""
-        known = sorted(card.address for card in self.gossip.peers.standing() if card.role == "core")
+        known = sorted(card.address for card in self.gossip.peers.live_cards() if card.role == "core")
         return known or list(self.gossip.peers.seeds)
 
     def run(self) -> None:
@@ -68,7 +68,7 @@
         # A first ask is not held, so that one that is dead shows soon.
         hold_ms, limit = (HOLD_MS, ASK_LIMIT) if self.settled else (0, FIRST_LIMIT)
         request = NewsAsk(
-            mark=self.mark, holdMs=hold_ms, sender=self.gossip.peers.me(), newest=True, members=self.digest
+            mark=self.mark, holdMs=hold_ms, sender=self.gossip.peers.own_card(), newest=True, members=self.digest
         )  # fmt: skip
         try:
             reply = self.rpc_client.call(address=address, request=request, wait=limit)
@@ -89,7 +89,7 @@
         if reply.members_digest and reply.members_digest == self.digest:
             # Their sessions stand now.
             for card in self.members:
-                self.gossip.peers.hear(card=dataclasses.replace(card, ageMs=0))
+                self.gossip.peers.observe(card=dataclasses.replace(card, ageMs=0))
         for fields in (reply.news or {}).get("configs", []):
             self._learn(config=config_from(fields=fields))
 
@@ -102,7 +102,7 @@
 
     def ask_peer(self, *, address: str) -> None:
         """A peer said that it has a newer configuration."""
-        request = NewsAsk(mark=self.mark, holdMs=0, sender=self.gossip.peers.me(), newest=True)
+        request = NewsAsk(mark=self.mark, holdMs=0, sender=self.gossip.peers.own_card(), newest=True)
         try:
             reply = self.rpc_client.call(address=address, request=request, wait=FIRST_LIMIT)
         except OSError:
--- a/dockmux/scale_model/fleet.py
+++ b/dockmux/scale_model/fleet.py
@@ -263,14 +263,14 @@
         if name in self.cores:
             core = self.cores[name]
             parts = {
-                "peers": [core.peers.cards, core.peers.heard],
+                "peers": [core.peers.cards, core.peers.last_heard],
                 "sessions": [core.chain.sessions.sessions],
                 "configurations": [[c.tree for c in core.chain.state.configs], core.store.entries],
             }
         else:
             edge = self.edges[name]
             parts = {
-                "peers": [edge.peers.cards, edge.peers.heard, edge.tracker.members],
+                "peers": [edge.peers.cards, edge.peers.last_heard, edge.tracker.members],
                 "engines": [edge.directory.rows],
                 "work": [edge.load_tracker.summaries, edge.load_tracker.told, edge.load_tracker.own],
                 "configurations": [edge.tracker.config, edge.tracker.table],
--- a/dockmux/scale_model/recovery.py
+++ b/dockmux/scale_model/recovery.py
@@ -40,7 +40,7 @@
     began = made.world.now()
     gone = {made.edges[name].settings.address for name in names}
     left = [edge for name, edge in made.edges.items() if name not in names]
-    while any(gone & {card.address for card in edge.peers.standing()} for edge in left):
+    while any(gone & {card.address for card in edge.peers.live_cards()} for edge in left):
         if made.world.now() - began > LIMIT:
             raise TimeoutError("the lost are still peers")
         made.operator.sleep(wait=ms(50))
--- a/dockmux/simulator/exchanges.py
+++ b/dockmux/simulator/exchanges.py
@@ -193,7 +193,7 @@
     told = []
     with serving() as made:
         gossip = made.daemons["edge-0"].gossip
-        gossip.clock.distrust()
+        gossip.clock.mark_unsynchronized()
         told.append(say(made=made, body={"prompt": "p"}))
         assert made.wait_until(what=gossip.ready, limit=5 * SECOND)
         told.append(say(made=made, body={"prompt": "p", "pieces": 1})[:2])
--- a/dockmux/simulator/fleet.py
+++ b/dockmux/simulator/fleet.py
@@ -142,7 +142,7 @@
             daemon = self.daemons.get(edge["name"])
             if daemon is None or not hasattr(daemon, "table") or daemon.follower.current() is None:
                 return False
-            if len(daemon.spread.table.summary()) < len(self.plan.engines):
+            if len(daemon.usage_gossip.table.summary()) < len(self.plan.engines):
                 return False
         return True
 
--- a/dockmux/simulator/probe.py
+++ b/dockmux/simulator/probe.py
@@ -51,7 +51,7 @@
             if gossip.clock.synchronized:
                 self.latest[id(daemon)] = now
                 read.append((name, now, gossip.clock.bound()))
-                rates.append(gossip.rate.milliHz)
+                rates.append(gossip.exchange_rate.millihz)
         self.synchronized.append((at, len(read)))
         for place, (name, now, bound) in enumerate(read):
             for other, its_now, its_bound in read[place + 1 :]:
@@ -76,8 +76,8 @@
         probe.look()
         assert probe.wrong == [] and probe.synchronized[-1][1] == 5
         clock = made.daemons["edge-0"].gossip.clock
-        clock.base -= timedelta(seconds=1)
-        clock.latest = None
+        clock.epoch -= timedelta(seconds=1)
+        clock.last_reading = None
         probe.look()
         assert sum("apart" in text for text in probe.wrong) == 4
         assert sum("edge-0: time ran back" in text for text in probe.wrong) == 1
--- a/dockmux/simulator/rules.py
+++ b/dockmux/simulator/rules.py
@@ -12,12 +12,12 @@
 import pytest
 
 from dockmux.clock.clock import Clock
-from dockmux.clock.gossip import Gossip
+from dockmux.clock.gossip_endpoint import GossipEndpoint
 from dockmux.control import engine_scheduler as scheduler
 from dockmux.control.chain_replica import ChainReplica
 from dockmux.control.engine_scheduler import Move
 from dockmux.engine_emulator.engine import Engine
-from dockmux.gossip.usage import UsageTable
+from dockmux.gossip.usage_table import UsageTable
 from dockmux.load_generator.client import Attempt, send
 from dockmux.load_generator.open_loop import OpenLoopLoad
 from dockmux.local_fleet.fleet_plan import FleetPlan, build
@@ -511,11 +511,11 @@
     _learn(self, news=news, heldMs=heldMs)
 
 
-_take_usage = UsageTable.take
+_update_usage = UsageTable.update
 
 
 def _ignores_the_engine(self: UsageTable, *, usage: Any) -> bool:
-    return _take_usage(self, usage=dataclasses.replace(usage, leaving=False))
+    return _update_usage(self, usage=dataclasses.replace(usage, leaving=False))
 
 
 _extend = ChainReplica._extend
@@ -536,11 +536,11 @@
         _append(self, records=records)
 
 
-_lead = Clock.lead
+_become_source = Clock.become_source
 
 
 def _begins_with_the_wall_clock(self: Clock, *, mark: int, not_before: datetime) -> None:
-    _lead(self, mark=mark, not_before=EPOCH)
+    _become_source(self, mark=mark, not_before=EPOCH)
 
 
 def _is_sure(self: RecordLog, *, records: list[dict[str, Any]]) -> None:
@@ -625,7 +625,7 @@
     Rule(
         number=7, check="leaving_gets_nothing", act=leaving,
         defences={
-            "the engine's own word": [(UsageTable, "take", _ignores_the_engine)],
+            "the engine's own word": [(UsageTable, "update", _ignores_the_engine)],
             "the list's word": [(Follower, "_learn", _ignores_the_list)],
         },
     ),
@@ -673,8 +673,8 @@
     Rule(
         number=12, check="service_returns", act=returns,
         defences={
-            "the join rate": [(Gossip, "_wait", lambda self: self.rate.wait)],
-            "no time before what is on record": [(Clock, "lead", _begins_with_the_wall_clock)],
+            "the join rate": [(GossipEndpoint, "_exchange_interval", lambda self: self.exchange_rate.interval)],
+            "no time before what is on record": [(Clock, "become_source", _begins_with_the_wall_clock)],
         },
     ),
 ]  # fmt: skip
--- a/tests/gauge_test.py
+++ b/tests/gauge_test.py
@@ -152,7 +152,7 @@
                 card = core.peers.card
                 for address in crowd:
                     fields = {"name": address, "role": "edge", "site": "z", "address": address, "http": address}
-                    core.peers.hear(card=type(card)(**fields, incarnation="x", ageMs=0))
+                    core.peers.observe(card=type(card)(**fields, incarnation="x", ageMs=0))
             made.operator.sleep(wait=ms(500))
             assert [len(core.agreement.cores()) for core in made.cores.values()] == [4] * 5
 
