--- a/dockmux/clock/clock.py
+++ b/dockmux/clock/clock.py
@@ -235,14 +235,14 @@
     return Clock(host=_ManualHost(), settings=Settings(**fields, **{"precisionUs": 10, "tolerancePpm": 100, **changes}))
 
 
-def _sample(*, clock: Clock, aheadUs: int = 0, delayUs: int = 2000, dispersionUs: int = 500, hops: int = 0,
-            mark: int = 1, correctionUs: int = 0, sinceUs: int = 0) -> Sample:  # fmt: skip
+def _sample(*, clock: Clock, offset_us: int = 0, delay_us: int = 2000, dispersion_us: int = 500, hops: int = 0,
+            mark: int = 1, correction_us: int = 0, since_update_us: int = 0) -> Sample:  # fmt: skip
     t4 = clock.now()
-    t1 = t4 - us(delayUs + 300)
-    t2 = t1 + us(delayUs // 2 + aheadUs)
+    t1 = t4 - us(delay_us + 300)
+    t2 = t1 + us(delay_us // 2 + offset_us)
     return Sample(
-        t1=t1, t2=t2, t3=t2 + us(300), t4=t4, dispersion=us(dispersionUs), precision=us(10),
-        correction=us(correctionUs), since_update=us(sinceUs), tolerance_ppm=100, hops=hops, source_mark=mark,
+        t1=t1, t2=t2, t3=t2 + us(300), t4=t4, dispersion=us(dispersion_us), precision=us(10),
+        correction=us(correction_us), since_update=us(since_update_us), tolerance_ppm=100, hops=hops, source_mark=mark,
     )  # fmt: skip
 
 
@@ -262,7 +262,7 @@
     clock = _clock()
     assert clock.bound() == UNBOUNDED and not clock.synchronized
     before = clock.now()
-    assert clock.process_sample(sample=_sample(clock=clock, aheadUs=-60_000_000, hops=2))
+    assert clock.process_sample(sample=_sample(clock=clock, offset_us=-60_000_000, hops=2))
     assert clock.now() - before == us(-60_000_000) and clock.hops == 3 and clock.correction == ZERO
     assert clock.bound() == us(500 + 10 + 1000 + 10)
     clock.host.time += timedelta(seconds=30)
@@ -280,7 +280,7 @@
     clock = _synchronized_clock()
     clock.host.time += timedelta(seconds=100)
     before = clock.now()
-    assert clock.process_sample(sample=_sample(clock=clock, aheadUs=-20_000))
+    assert clock.process_sample(sample=_sample(clock=clock, offset_us=-20_000))
     assert clock.now() == before and clock.correction == us(-20_000)
     assert clock.bound() == us(500 + 10 + 1000 + 10 + 20_000)
     clock.host.time += timedelta(seconds=1)
@@ -291,22 +291,20 @@
 
 def test_each_branch_of_the_adoption_rule():
     clock = _synchronized_clock()
-    assert not clock.is_adoptable(sample=_sample(clock=clock, dispersionUs=511))  # larger than the clock's own error
+    assert not clock.is_adoptable(sample=_sample(clock=clock, dispersion_us=511))  # larger than the clock's own error
     clock.host.time += timedelta(seconds=100)
     assert clock.is_adoptable(sample=_sample(clock=clock, hops=7))  # no outstanding correction: hops are ignored
-    assert clock.process_sample(sample=_sample(clock=clock, aheadUs=15_000, hops=3))
+    assert clock.process_sample(sample=_sample(clock=clock, offset_us=15_000, hops=3))
     clock.host.time += timedelta(seconds=1)
     assert clock.bound() < UNBOUNDED and clock.correction == us(10_000) and clock.hops == 4
-    assert not clock.is_adoptable(
-        sample=_sample(clock=clock, dispersionUs=0, hops=4)
-    )  # outstanding correction, own hops not higher
-    assert not clock.is_adoptable(sample=_sample(clock=clock, dispersionUs=0, hops=5))
-    assert clock.is_adoptable(
-        sample=_sample(clock=clock, dispersionUs=0, hops=3)
-    )  # outstanding correction, own hops higher
-    limit = clock._accumulated_error() - _sample(clock=clock, dispersionUs=0).total_dispersion
-    assert clock.is_adoptable(sample=_sample(clock=clock, dispersionUs=limit // us(1)))
-    assert not clock.is_adoptable(sample=_sample(clock=clock, dispersionUs=limit // us(1) + 1))
+    # Outstanding correction, own hops not higher.
+    assert not clock.is_adoptable(sample=_sample(clock=clock, dispersion_us=0, hops=4))
+    assert not clock.is_adoptable(sample=_sample(clock=clock, dispersion_us=0, hops=5))
+    # Outstanding correction, own hops higher.
+    assert clock.is_adoptable(sample=_sample(clock=clock, dispersion_us=0, hops=3))
+    limit = clock._accumulated_error() - _sample(clock=clock, dispersion_us=0).total_dispersion
+    assert clock.is_adoptable(sample=_sample(clock=clock, dispersion_us=limit // us(1)))
+    assert not clock.is_adoptable(sample=_sample(clock=clock, dispersion_us=limit // us(1) + 1))
 
 
 def test_samples_of_a_superseded_source_are_rejected():
@@ -327,7 +325,7 @@
     assert clock.current_dispersion() == bound
     clock.host.time += timedelta(seconds=10)
     assert clock.current_dispersion() == bound - us(500)
-    assert not clock.process_sample(sample=_sample(clock=clock, mark=2, dispersionUs=0, aheadUs=99))
+    assert not clock.process_sample(sample=_sample(clock=clock, mark=2, dispersion_us=0, offset_us=99))
     clock.stop_being_source()
     assert clock.hops == 1 and clock.bound() == bound - us(500) + us(10)
 
@@ -344,15 +342,15 @@
     need hours to slew to a source whose clock started far behind."""
     clock = _clock()
     before = clock.issue_time()
-    assert clock.process_sample(sample=_sample(clock=clock, aheadUs=-60_000_000))
+    assert clock.process_sample(sample=_sample(clock=clock, offset_us=-60_000_000))
     assert clock.issue_time() - before == us(-60_000_000) and clock.correction == ZERO
 
 
 def test_after_a_freeze_the_clock_is_unsynchronized_and_steps_only_forwards():
-    for aheadUs, corrected in ((40_000_000, ZERO), (-40_000_000, us(-40_000_000))):
+    for offset_us, remaining in ((40_000_000, ZERO), (-40_000_000, us(-40_000_000))):
         clock = _synchronized_clock()
         clock.mark_unsynchronized()
         assert clock.bound() == UNBOUNDED
         before = clock.now()
-        assert clock.process_sample(sample=_sample(clock=clock, aheadUs=aheadUs))
-        assert clock.correction == corrected and clock.now() >= before and clock.synchronized
+        assert clock.process_sample(sample=_sample(clock=clock, offset_us=offset_us))
+        assert clock.correction == remaining and clock.now() >= before and clock.synchronized
--- a/dockmux/clock/gossip_endpoint.py
+++ b/dockmux/clock/gossip_endpoint.py
@@ -219,14 +219,14 @@
 
     fields = {"site": "s", "http": "127.0.0.1:9", "seeds": ["127.0.0.1:2"]}
     endpoints = []
-    for name, address, aheadUs in (("a", "127.0.0.1:1", 0), ("b", "127.0.0.1:2", 80_000)):
+    for name, address, offset_us in (("a", "127.0.0.1:1", 0), ("b", "127.0.0.1:2", 80_000)):
         settings = Settings(name=name, address=address, **fields)
         host = _ManualHost()
         host.random = random.Random(name)
         card = PeerCard(name=name, role="edge", site="s", address=address, http=address, incarnation=name, ageMs=0)
         peers = PeerTable(host=host, settings=settings, card=card)
         endpoints.append(GossipEndpoint(host=host, settings=settings, peers=peers, port=_RecordingPort()))
-        endpoints[-1].clock.epoch += us(aheadUs)
+        endpoints[-1].clock.epoch += us(offset_us)
     client, server = endpoints
     server.clock.become_source(mark=1, not_before=server.clock.now())
 
