--- a/dockmux/clock/peer_table.py
+++ b/dockmux/clock/peer_table.py
@@ -24,8 +24,8 @@
 class PeerTable:
     """Invariants:
     - `cards` and `last_heard` are keyed by the peer's address and never contain this daemon;
-    - `last_heard` is when the peer last sent anything, in this host's monotonic time; a card that another peer
-      passes on keeps its age and doesn't refresh the entry;
+    - `last_heard` is when the peer last sent anything, in this host's monotonic time; a forwarded card keeps
+      its age, so that forwarding never makes an entry younger;
     - `lost_at` maps the addresses of silent peers to the time at which they were removed; none of them is live.
     """
 
