--- a/dockmux/platform_proxy/admission.py
+++ b/dockmux/platform_proxy/admission.py
@@ -52,9 +52,9 @@
     def excess(self, *, record: RequestRecord, pairing: Pairing, streams: int, now: timedelta) -> timedelta:
         """By how much what lies at the engines is too much for this request; zero or less when it is to be sent.
         `streams` run at its writer."""
-        first = pairing.expected + pairing.wait * (MARGIN - 1)
+        first = pairing.expected_ttft + pairing.queue_wait * (MARGIN - 1)
         late = first - (record.ends_at() - now)
-        slots = pairing.writer.slots
+        slots = pairing.decode_engine.slots
         if streams < slots * FIXED_PART:
             # Its streams hardly slow each other down: refusing one would help nobody.
             return late
--- a/dockmux/platform_proxy/budget.py
+++ b/dockmux/platform_proxy/budget.py
@@ -1,4 +1,4 @@
-"""Extra sends to a service: one allowance for the whole fleet, its windows named by the shared time."""
+"""The fleet-wide retry budget: limits extra sends per service, in windows of the shared clock."""
 
 import math
 from collections import defaultdict, deque
@@ -7,100 +7,108 @@
 from dockmux.platform_proxy.deployment import Deployment
 from dockmux.runtime.time_units import EPOCH
 
-# A window of the rule is cut into so many of the clock's; a sum over the windows that a span can touch covers it.
-CUTS = 10
-# The part of the fixed allowance that every daemon may use without knowing of the others.
-ALONE_PART = 0.35
-# The part that all draw on. With what a former life of every daemon may have used alone, the sum is the whole.
-POOL_PART = 0.3
-# A daemon's life begins without knowing the others.
-ALONE_FROM = timedelta(seconds=2)
+# The rule's window is divided into this many slices of the shared clock; the sum over all slices that a span can touch
+# covers the span.
+WINDOW_SLICES = 10
+# Share of the fixed allowance that is divided among the daemons and used without coordination.
+LOCAL_SHARE = 0.35
+# Share that all daemons draw on. Local share, its use by a previous process of every daemon, and this share add up to
+# the whole allowance.
+POOL_SHARE = 0.3
+# A new process doesn't know the other daemons yet, so its local share is 0 at first.
+LOCAL_SHARE_DELAY = timedelta(seconds=2)
 
 
 class Budget:
-    """Any span of the rule's window may hold `ratio` x requests + `extra` extra sends, summed over all daemons.
+    """Allows at most `retry_ratio` x requests + `retry_extra` extra sends in any span as long as the rule's window,
+    summed over all daemons.
 
     Invariants:
-    - `own` holds the times of the extra sends that this daemon may make alone and `asked` those of its requests,
-      monotonic, newest last; the ratio's part is used only against this daemon's own requests, so the fleet's sum
-      keeps to it; in a life's first window nothing is drawn, for what an earlier life drew is not known;
-    - the fixed part is split: a part stands to each daemon alone, an equal share each; another is drawn on by all,
-      and what all drew is known by `spent`: by daemon, window of the shared time and service;
-    - in one window of the shared time a daemon draws no more than its equal share of what it knows to be left, so that
-      draws which do not know of each other cannot go over it;
-    - while the shared time is not bounded tightly enough to name a window, nothing is drawn.
+    - `local_sends` holds the monotonic times of the extra sends made on the local limit, and `requests` those of this
+      daemon's requests, newest last; the ratio is applied to this daemon's own requests only, so the fleet's sum keeps
+      to it; nothing is drawn from the pool in a process's first window, because the draws of the previous process are
+      not known;
+    - the fixed allowance is split: one share is divided equally among the daemons, another is a pool that all draw on;
+      `pool_draws` holds this daemon's draws by service and slice, `peer_draws` the others' by daemon as well;
+    - within one slice a daemon draws no more than its equal share of what it knows to be left, so that concurrent draws
+      cannot exceed the pool;
+    - nothing is drawn while the shared clock's error bound is too large to determine the slice.
     """
 
-    def __init__(self, *, deployment: Deployment, born: timedelta) -> None:
+    def __init__(self, *, deployment: Deployment, started_at: timedelta) -> None:
         self.deployment = deployment
-        self.cut = deployment.retry_window / CUTS
-        self.born = born
-        self.own: dict[str, deque[timedelta]] = defaultdict(deque)
-        self.asked: dict[str, deque[timedelta]] = defaultdict(deque)
-        self.drawn: dict[str, dict[int, int]] = defaultdict(dict)
-        self.spent: dict[str, dict[str, dict[int, int]]] = {}
+        self.slice_length = deployment.retry_window / WINDOW_SLICES
+        self.started_at = started_at
+        self.local_sends: dict[str, deque[timedelta]] = defaultdict(deque)
+        self.requests: dict[str, deque[timedelta]] = defaultdict(deque)
+        self.pool_draws: dict[str, dict[int, int]] = defaultdict(dict)
+        self.peer_draws: dict[str, dict[str, dict[int, int]]] = {}
 
-    def window(self, *, time: datetime) -> int:
-        return (time - EPOCH) // self.cut
+    def slice_index(self, *, time: datetime) -> int:
+        """The number of the slice of the shared clock that contains `time`."""
+        return (time - EPOCH) // self.slice_length
 
     def note_request(self, *, service: str, now: timedelta) -> None:
-        self.asked[service].append(now)
-        self._count(times=self.asked[service], now=now, span=self.deployment.retry_window)
+        self.requests[service].append(now)
+        self._prune_and_count(times=self.requests[service], now=now, span=self.deployment.retry_window)
 
-    def _count(self, *, times: deque[timedelta], now: timedelta, span: timedelta) -> int:
+    def _prune_and_count(self, *, times: deque[timedelta], now: timedelta, span: timedelta) -> int:
         while times and now - times[0] > span:
             times.popleft()
         return len(times)
 
     def charge(self, *, service: str, now: timedelta) -> None:
-        """A send turned out to be an extra one only after it was made."""
-        self.own[service].append(now)
+        """Counts a send that turned out to be an extra one only after it was made."""
+        self.local_sends[service].append(now)
 
-    def give_back(self, *, service: str) -> None:
-        """One that was taken turned out to be no extra send, as a first reading that was taken up."""
-        if self.own[service]:
-            self.own[service].pop()
+    def refund(self, *, service: str) -> None:
+        """Returns a send that turned out not to be an extra one, such as a first prefill that the engine accepted."""
+        if self.local_sends[service]:
+            self.local_sends[service].pop()
 
     def take(
         self, *, service: str, daemons: int, now: timedelta, time: datetime | None, bound: timedelta
     ) -> bool:  # fmt: skip
-        """Whether one more extra send is allowed now; it counts at once. `time` is the shared time, None while it
-        may not be used; `bound` is how far it may be off."""
+        """Whether one more extra send is allowed now; if so, it is counted. `daemons` is the number of live daemons,
+        `time` the shared time or None while it is not synchronized, `bound` its largest error."""
         rule = self.deployment
-        # A little longer than the rule's window: what is sent now arrives a little later.
-        mine = self._count(times=self.own[service], now=now, span=rule.retry_window * 1.05)
-        asked = self._count(times=self.asked[service], now=now, span=rule.retry_window * 0.9)
-        fixed = int(rule.retry_extra * ALONE_PART / max(daemons, 1)) if now - self.born > ALONE_FROM else 0
-        alone = int(rule.retry_ratio * asked * 0.9) + fixed
-        if mine < alone:
-            self.own[service].append(now)
+        # 5 % longer than the rule's window, because sends arrive at the engines with some delay.
+        local_count = self._prune_and_count(times=self.local_sends[service], now=now, span=rule.retry_window * 1.05)
+        request_count = self._prune_and_count(times=self.requests[service], now=now, span=rule.retry_window * 0.9)
+        fixed = (
+            int(rule.retry_extra * LOCAL_SHARE / max(daemons, 1)) if now - self.started_at > LOCAL_SHARE_DELAY else 0
+        )
+        local_limit = int(rule.retry_ratio * request_count * 0.9) + fixed
+        if local_count < local_limit:
+            self.local_sends[service].append(now)
             return True
-        if time is None or bound >= self.cut / 2 or now - self.born <= rule.retry_window:
+        if time is None or bound >= self.slice_length / 2 or now - self.started_at <= rule.retry_window:
             return False
-        window = self.window(time=time)
-        # Spans that reach into the present touch these windows, whichever way this clock is off.
-        reach = CUTS + 1 + math.ceil(bound / self.cut)
-        for kept in self.drawn.values():
-            for old in [w for w in kept if w < window - reach]:
-                del kept[old]
-        known = sum(self.drawn[service].values())
-        for rows in self.spent.values():
-            known += sum(count for w, count in rows.get(service, {}).items() if w >= window - reach)
-        left = int(rule.retry_extra * POOL_PART) - known
-        # What the others draw in this window and the last is not known yet.
-        if self.drawn[service].get(window, 0) >= left // (2 * max(daemons, 1)):
+        slice_index = self.slice_index(time=time)
+        # All slices that a span ending now can touch, for any clock error within the bound.
+        slices_back = WINDOW_SLICES + 1 + math.ceil(bound / self.slice_length)
+        for draws in self.pool_draws.values():
+            for expired in [w for w in draws if w < slice_index - slices_back]:
+                del draws[expired]
+        known_draws = sum(self.pool_draws[service].values())
+        for rows in self.peer_draws.values():
+            known_draws += sum(count for w, count in rows.get(service, {}).items() if w >= slice_index - slices_back)
+        remaining = int(rule.retry_extra * POOL_SHARE) - known_draws
+        # Halved, because the peers' draws in this slice and the one before are not known yet.
+        if self.pool_draws[service].get(slice_index, 0) >= remaining // (2 * max(daemons, 1)):
             return False
-        self.drawn[service][window] = self.drawn[service].get(window, 0) + 1
+        self.pool_draws[service][slice_index] = self.pool_draws[service].get(slice_index, 0) + 1
         return True
 
-    def told(self) -> dict[str, dict[str, int]]:
-        """What the other daemons are told: draws by service and window."""
-        return {s: {str(w): n for w, n in rows.items()} for s, rows in self.drawn.items() if rows}
+    def summary(self) -> dict[str, dict[str, int]]:
+        """This daemon's draws for the other daemons, as counts by service and slice."""
+        return {s: {str(w): n for w, n in rows.items()} for s, rows in self.pool_draws.items() if rows}
 
-    def hear(self, *, daemon: str, told: dict[str, dict[str, int]]) -> None:
-        self.spent[daemon] = {s: {int(w): n for w, n in rows.items()} for s, rows in told.items()}
+    def update_peer(self, *, daemon: str, draws: dict[str, dict[str, int]]) -> None:
+        """Replaces the known draws of another daemon by its newest summary."""
+        self.peer_draws[daemon] = {s: {int(w): n for w, n in rows.items()} for s, rows in draws.items()}
 
     def forget(self, *, live: set[str]) -> None:
-        """Draws of daemons that are gone lapse with their windows; their rows go when they are silent for long."""
-        for daemon in [d for d in self.spent if d not in live]:
-            del self.spent[daemon]
+        """Drops the rows of daemons that are not live. Until then their draws count for as long as their slices do."""
+        for daemon in [d for d in self.peer_draws if d not in live]:
+            del self.peer_draws[daemon]
--- a/dockmux/platform_proxy/tracker.py
+++ b/dockmux/platform_proxy/config_tracker.py
@@ -1,4 +1,4 @@
-"""Follows the control plane: the newest configuration, and who the other daemons are."""
+"""Follows the control plane: the newest configuration, and the other daemons."""
 
 import dataclasses
 from datetime import timedelta
@@ -15,16 +15,16 @@
 from dockmux.runtime.rpc import RpcClient
 from dockmux.runtime.time_units import ms
 
-HOLD_MS = 900
-ASK_LIMIT = timedelta(milliseconds=1400)
-FIRST_LIMIT = timedelta(milliseconds=500)
-AGAIN = timedelta(milliseconds=60)
+LONG_POLL_MS = 900
+LONG_POLL_TIMEOUT = timedelta(milliseconds=1400)
+FIRST_POLL_TIMEOUT = timedelta(milliseconds=500)
+RETRY_PAUSE = timedelta(milliseconds=60)
 
 
-class Tracker:
-    """Invariants: `table` is the newest configuration that any daemon told of, never an older one than before;
-    whatever is told of was acknowledged, so it is used as soon as it is known. Out of touch with the control plane
-    the last one stays in use."""
+class ConfigTracker:
+    """Keeps the newest known configuration in use. Invariants: `table` is the newest configuration received from any
+    daemon and never goes back to an older one; daemons only pass on acknowledged configurations, so each is used as
+    soon as it is known. Without contact to the control plane the last one stays in use."""
 
     def __init__(self, *, host: Host, gossip: Gossip, rpc_client: RpcClient, protocol: ProtocolAdapter) -> None:
         self.host = host
@@ -33,11 +33,11 @@
         self.protocol = protocol
         self.config: Config | None = None
         self.table: RouteTable | None = None
-        self.learned = Condition()
+        self.config_changed = Condition()
         self.members: list[PeerCard] = []
-        self.digest = "none"
-        self.granted_at = -ms(10_000_000)
-        self.settled = False
+        self.members_digest = "none"
+        self.confirmed_at = -ms(10_000_000)
+        self.connected = False
         self.head = ""
 
     @property
@@ -45,73 +45,74 @@
         return self.config.mark if self.config else 0
 
     def cores(self) -> list[str]:
-        """Control daemons: those that are known to live; the seeds while there are none."""
-        known = sorted(card.address for card in self.gossip.peers.standing() if card.role == "core")
-        return known or list(self.gossip.peers.seeds)
+        """Addresses of the live control daemons, or the seeds while none is known."""
+        core_addresses = sorted(card.address for card in self.gossip.peers.standing() if card.role == "core")
+        return core_addresses or list(self.gossip.peers.seeds)
 
     def run(self) -> None:
-        """Asks a control daemon with the mark that it has, for ever; another when that one fails or is itself out of
-        touch with the others."""
+        """Long-polls a control daemon for newer configurations, without end; switches to another one when it fails or
+        has lost contact with the others."""
         core = ""
         while True:
             cores = self.cores()
             if core not in cores:
                 core = self.host.random.choice(cores)
-                self.settled = False
-            if not self._ask(address=core):
+                self.connected = False
+            if not self._poll(address=core):
                 others = [address for address in cores if address != core]
                 core = self.host.random.choice(others or cores)
-                self.settled = False
-                self.host.sleep(wait=AGAIN * self.host.random.uniform(0.5, 1.5))
+                self.connected = False
+                self.host.sleep(wait=RETRY_PAUSE * self.host.random.uniform(0.5, 1.5))
 
-    def _ask(self, *, address: str) -> bool:
-        # A first ask is not held, so that one that is dead shows soon.
-        hold_ms, limit = (HOLD_MS, ASK_LIMIT) if self.settled else (0, FIRST_LIMIT)
+    def _poll(self, *, address: str) -> bool:
+        # The first poll returns at once, so that a dead daemon is detected early.
+        hold_ms, timeout = (LONG_POLL_MS, LONG_POLL_TIMEOUT) if self.connected else (0, FIRST_POLL_TIMEOUT)
         request = NewsAsk(
-            mark=self.mark, holdMs=hold_ms, sender=self.gossip.peers.me(), newest=True, members=self.digest
+            mark=self.mark, holdMs=hold_ms, sender=self.gossip.peers.me(), newest=True, members=self.members_digest
         )  # fmt: skip
         try:
-            reply = self.rpc_client.call(address=address, request=request, wait=limit)
+            reply = self.rpc_client.call(address=address, request=request, wait=timeout)
         except OSError:
             return False
         if not isinstance(reply, NewsReply):
             return False
-        self.take(reply=reply)
+        self.apply_reply(reply=reply)
         if reply.granted:
-            self.granted_at = self.host.elapsed()
-            self.settled = True
+            self.confirmed_at = self.host.elapsed()
+            self.connected = True
             self.head = reply.head
         return reply.granted
 
-    def take(self, *, reply: NewsReply) -> None:
+    def apply_reply(self, *, reply: NewsReply) -> None:
+        """Takes over the members and configurations of a reply."""
         if reply.members:
-            self.members, self.digest = reply.members, reply.members_digest
-        if reply.members_digest and reply.members_digest == self.digest:
-            # Their sessions stand now.
+            self.members, self.members_digest = reply.members, reply.members_digest
+        if reply.members_digest and reply.members_digest == self.members_digest:
+            # The control daemon confirms that their sessions are live now.
             for card in self.members:
                 self.gossip.peers.hear(card=dataclasses.replace(card, ageMs=0))
         for fields in (reply.news or {}).get("configs", []):
-            self._learn(config=config_from(fields=fields))
+            self._adopt(config=config_from(fields=fields))
 
-    def _learn(self, *, config: Config) -> None:
+    def _adopt(self, *, config: Config) -> None:
         if config.mark <= self.mark or "text" not in config.tree:
             return
         self.config, self.table = config, self.protocol.parse_config(text=config.tree["text"])
         self.host.log(LogEvent.VERSION_IN_USE, version=config.version)
-        self.learned.notify_all()
+        self.config_changed.notify_all()
 
-    def ask_peer(self, *, address: str) -> None:
-        """A peer said that it has a newer configuration."""
+    def poll_peer(self, *, address: str) -> None:
+        """Fetches the configuration of a peer that reported a newer one."""
         request = NewsAsk(mark=self.mark, holdMs=0, sender=self.gossip.peers.me(), newest=True)
         try:
-            reply = self.rpc_client.call(address=address, request=request, wait=FIRST_LIMIT)
+            reply = self.rpc_client.call(address=address, request=request, wait=FIRST_POLL_TIMEOUT)
         except OSError:
             return
         if isinstance(reply, NewsReply):
-            self.take(reply=reply)
+            self.apply_reply(reply=reply)
 
     def on_news(self, *, request: NewsAsk) -> NewsReply:
-        """For a peer: what this daemon has."""
+        """Answers a peer with this daemon's configuration if it is newer than the peer's."""
         news: dict[str, Any] | None = None
         if self.config is not None and self.config.mark > request.mark:
             news = {"configs": [self.config.fields()]}
--- a/dockmux/platform_proxy/dispatcher.py
+++ b/dockmux/platform_proxy/dispatcher.py
@@ -10,6 +10,7 @@
 from dockmux.platform_proxy.budget import Budget
 from dockmux.platform_proxy.directory import Directory
 from dockmux.platform_proxy.engine_client import WIRE_ERRORS, EngineClient, EngineResponse
+from dockmux.platform_proxy.engine_health import EngineHealth
 from dockmux.platform_proxy.load_tracker import LoadTracker
 from dockmux.platform_proxy.placement import Pairing, Placement
 from dockmux.platform_proxy.protocol_adapter import EngineEntry, KvHandle, ProtocolAdapter
@@ -17,7 +18,6 @@
 from dockmux.platform_proxy.request_record import RequestRecord, note_left
 from dockmux.platform_proxy.routes import RunRule
 from dockmux.platform_proxy.send_state import Broken, TurnedAway, Unsent
-from dockmux.platform_proxy.verdicts import Verdicts
 from dockmux.runtime.host import Host
 from dockmux.runtime.http_transport import HttpExchange
 from dockmux.runtime.outcomes import OutcomeKind
@@ -64,7 +64,7 @@
 
     def __init__(
         self, *, host: Host, protocol: ProtocolAdapter, directory: Directory, engine_client: EngineClient,
-        load_tracker: LoadTracker, placement: Placement, verdicts: Verdicts, budget: Budget, clock: Any,
+        load_tracker: LoadTracker, placement: Placement, engine_health: EngineHealth, budget: Budget, clock: Any,
         daemons: Callable[[], int],
     ) -> None:  # fmt: skip
         self.host = host
@@ -73,7 +73,7 @@
         self.engine_client = engine_client
         self.load_tracker = load_tracker
         self.placement = placement
-        self.verdicts = verdicts
+        self.engine_health = engine_health
         self.budget = budget
         self.clock = clock
         self.daemons = daemons
@@ -113,7 +113,7 @@
             return Ending(kind=OutcomeKind.FAILED, why=record.why or "the engine broke off")
         if self._over(record=record):
             return Ending(kind=OutcomeKind.UNKNOWN if record.ran else OutcomeKind.BUSY, why="its time is over")
-        if record.sends >= record.route.tries:
+        if record.sends >= record.route.max_sends:
             kind = OutcomeKind.FAILED if record.ran else OutcomeKind.BUSY
             return Ending(kind=kind, why=record.why or "all its tries are used")
         return None
@@ -125,18 +125,18 @@
             return Ending(kind=OutcomeKind.NO_ENGINE, why="no engine can be used")
         if not record.ran and (busy := self._too_busy(record=record, pairing=pairing)) is not None:
             return busy
-        if pairing.names(engines=record.unreached):
+        if pairing.includes(engines=record.unreached):
             self._pause_before_retry(record=record)
             if self._over(record=record):
                 return None
         kv_handle = None
-        if pairing.reader is not None:
+        if pairing.prefill_engine is not None:
             taken = self._may_read(record=record)
             if taken is None:
                 record.reads = READS_MOST
                 return None
             kv_handle = self._read(record=record, pairing=pairing, taken=taken)
-            if kv_handle is None or not self._usable(engine=pairing.writer) or self._has_left(record=record):
+            if kv_handle is None or not self._usable(engine=pairing.decode_engine) or self._has_left(record=record):
                 self._drop(kv_handle=kv_handle)
                 return None
         if not self._take_extra(record=record, first=record.sends == 0):
@@ -147,7 +147,7 @@
     def _too_busy(self, *, record: RequestRecord, pairing: Pairing) -> Ending | None:
         """The refusal of a request that would not come to its end in time."""
         now = self.host.elapsed()
-        streams = self.load_tracker.streams(engine=pairing.writer.engine)
+        streams = self.load_tracker.streams(engine=pairing.decode_engine.engine)
         excess = self.admission.excess(record=record, pairing=pairing, streams=streams, now=now)
         if excess <= ZERO:
             return None
@@ -202,7 +202,7 @@
 
     def _pair(self, *, record: RequestRecord) -> Pairing | None:
         engines = self.engines(service=record.service)
-        well = [engine for engine in engines if not self.verdicts.failing(engine=engine.engine)]
+        well = [engine for engine in engines if not self.engine_health.is_failing(engine=engine.engine)]
         writers = [engine for engine in well if engine.phase != "prefill" and engine.engine not in record.avoid]
         if not writers:
             # Nothing better is known: those that were found failing are tried after all.
@@ -221,26 +221,26 @@
         return True if self._take_extra(record=record, first=False) else None
 
     def _read(self, *, record: RequestRecord, pairing: Pairing, taken: bool) -> KvHandle | None:
-        engine = pairing.reader
+        engine = pairing.prefill_engine
         idle = self.load_tracker.backlog(engine=engine.engine) <= ZERO
         began = self.host.elapsed()
-        with self.load_tracker.reading(engine=engine.engine, span=pairing.reader_span):
+        with self.load_tracker.prefilling(engine=engine.engine, span=pairing.prefill_time):
             told = self.engine_client.read(record=record, engine=engine)
         if isinstance(told, TurnedAway):
             self.turned_at = self.host.elapsed()
             if not taken:
                 self.budget.charge(service=record.service, now=self.turned_at)
         elif taken and (record.reads == 0 or isinstance(told, Unsent)):
-            self.budget.give_back(service=record.service)
+            self.budget.refund(service=record.service)
         self.signs[engine.engine] = self.host.elapsed()
         if isinstance(told, KvHandle):
             record.reads += 1
             span = self.host.elapsed() - began
-            tokens = self.placement.unread(engine=engine, metadata=record.metadata, home=True)
+            tokens = self.placement.uncached_tokens(engine=engine, metadata=record.metadata, is_home=True)
             if idle:
-                self.placement.note_pace(service=record.service, tokens=tokens, span=span)
+                self.placement.note_prefill_rate(service=record.service, tokens=tokens, span=span)
             self._note_parts(record=record, engine=engine)
-            self.verdicts.note_success(engine=engine.engine)
+            self.engine_health.note_success(engine=engine.engine)
             return told
         if not isinstance(told, Unsent):
             record.reads += 1
@@ -250,7 +250,7 @@
         return None
 
     def _note_parts(self, *, record: RequestRecord, engine: EngineEntry) -> None:
-        self.placement.note_read(
+        self.placement.note_prefill(
             service=record.service, engine=engine.engine, prefix_blocks=record.metadata.prefix_blocks
         )
 
@@ -262,13 +262,13 @@
 
     def _send(self, *, record: RequestRecord, relay: Relay, send: Send) -> Iterator[bytes]:
         """What of an engine's answer goes to the client; gives whether that brought the request to its end."""
-        engine, span = send.pairing.writer, send.pairing.writer_span
+        engine, span = send.pairing.decode_engine, send.pairing.local_prefill_time
         with contextlib.ExitStack() as stack:
             stack.enter_context(self.load_tracker.streaming(engine=engine.engine))
             reading = contextlib.ExitStack()
             stack.enter_context(reading)
             if span > ZERO:
-                reading.enter_context(self.load_tracker.reading(engine=engine.engine, span=span))
+                reading.enter_context(self.load_tracker.prefilling(engine=engine.engine, span=span))
             told = stack.enter_context(
                 self.engine_client.run(record=record, engine=engine, kv_handle=send.kv_handle, last=relay.last_event)
             )
@@ -313,7 +313,7 @@
             self._note_broken(record=record, engine=engine, why=why, fault=True)
             return False
         if not told.is_engine_failure:
-            self.verdicts.note_success(engine=engine.engine)
+            self.engine_health.note_success(engine=engine.engine)
             self._note_stream(record=record, engine=engine, first_at=first_at, whole=True)
         return True
 
@@ -331,7 +331,7 @@
         record.why = why
         record.avoid.add(engine.engine)
         if fault and not self._given_up(record=record):
-            self.verdicts.note_failure(engine=engine.engine, why=why)
+            self.engine_health.note_failure(engine=engine.engine, why=why)
 
     def _note_failed(
         self, *, record: RequestRecord, engine: EngineEntry, told: Unsent | TurnedAway | Broken,
@@ -350,4 +350,4 @@
         if isinstance(told, TurnedAway) and not told.other_engine:
             return
         if not self._given_up(record=record):
-            self.verdicts.note_failure(engine=engine.engine, why=told.why)
+            self.engine_health.note_failure(engine=engine.engine, why=told.why)
--- a/dockmux/platform_proxy/edge.py
+++ b/dockmux/platform_proxy/edge.py
@@ -1,4 +1,4 @@
-"""One edge machine's daemon where requests are handed through unchanged."""
+"""The edge daemon of a deployment where requests are passed through to the engines unchanged."""
 
 import contextlib
 from collections.abc import Iterable, Iterator
@@ -7,18 +7,18 @@
 from dockmux.clock.gossip import Gossip
 from dockmux.clock.peers import Peers
 from dockmux.platform_proxy.budget import Budget
+from dockmux.platform_proxy.config_tracker import ConfigTracker
 from dockmux.platform_proxy.connections import Connections
 from dockmux.platform_proxy.deployment import Deployment
 from dockmux.platform_proxy.directory import Directory
 from dockmux.platform_proxy.dispatcher import Dispatcher
 from dockmux.platform_proxy.engine_client import EngineClient
+from dockmux.platform_proxy.engine_health import EngineHealth
 from dockmux.platform_proxy.leaving import Leaving
 from dockmux.platform_proxy.load_tracker import LoadTracker
 from dockmux.platform_proxy.placement import Placement
 from dockmux.platform_proxy.protocol_adapter import EngineEntry, ProtocolAdapter
 from dockmux.platform_proxy.table import Table
-from dockmux.platform_proxy.tracker import Tracker
-from dockmux.platform_proxy.verdicts import Verdicts
 from dockmux.runtime import metrics
 from dockmux.runtime.host import Host
 from dockmux.runtime.http_transport import HttpExchange, serve
@@ -31,23 +31,25 @@
 from dockmux.runtime.task_group import TaskGroup
 from dockmux.runtime.time_units import ZERO, ms, to_ms
 
-PASS = timedelta(milliseconds=50)
-TELL = timedelta(milliseconds=200)
-TELL_IDLE = timedelta(milliseconds=1000)
-# So much more or less to be read anywhere is told at the next pass: within the ordinary wait the others would all
-# choose the engine that was idle last.
-TELL_AT_ONCE_MS = 60
-TELL_TO = 12
-DIRECTORY_LIMIT = timedelta(milliseconds=800)
+MAINTENANCE_INTERVAL = timedelta(milliseconds=50)
+REPORT_INTERVAL = timedelta(milliseconds=200)
+IDLE_REPORT_INTERVAL = timedelta(milliseconds=1000)
+# A change in prefill backlog of at least this much, summed over engines, is reported at the next maintenance run:
+# within the ordinary interval all other daemons would choose the engine last known to be idle.
+URGENT_BACKLOG_CHANGE_MS = 60
+# Daemons that receive each summary, chosen at random; the head gets it as well.
+REPORT_FANOUT = 12
+DIRECTORY_TIMEOUT = timedelta(milliseconds=800)
 
 
-def changes(*, before: dict[str, list[int]], now: dict[str, list[int]]) -> int:
-    """By how many ms of reading two summaries differ, over all engines."""
-    return sum(abs(now.get(e, [0])[0] - before.get(e, [0])[0]) for e in {*before, *now})
+def backlog_change(*, previous: dict[str, list[int]], now: dict[str, list[int]]) -> int:
+    """The difference between two load summaries in prefill backlog, in ms, summed over all engines."""
+    return sum(abs(now.get(e, [0])[0] - previous.get(e, [0])[0]) for e in {*previous, *now})
 
 
 class Edge:
-    """Invariant: it is ready while it has a configuration and a list of engines and has not been told to stop."""
+    """Serves requests and shares load, engine health and budget draws with the other daemons. Invariant: it is ready
+    while it has a configuration and an engine list and is not draining."""
 
     def __init__(self, *, host: Host, settings: Settings, deployment: Deployment, protocol: ProtocolAdapter) -> None:
         self.host = host
@@ -68,41 +70,43 @@
         with (
             host.datagrams(address=settings.address) as port,
             host.listen(address=settings.address) as listener,
-            host.listen(address=deployment.front) as front,
-            host.listen(address=deployment.ready) as ready,
+            host.listen(address=deployment.http_address) as front,
+            host.listen(address=deployment.readyz_address) as ready,
             RpcClient(host=host) as rpc_client,
             Connections(host=host) as connections,
             TaskGroup(host=host) as task_group,
         ):
             self.task_group, self.rpc_client, self.connections = task_group, rpc_client, connections
             self.gossip = Gossip(host=host, settings=settings, peers=self.peers, port=port)
-            self.tracker = Tracker(host=host, gossip=self.gossip, rpc_client=rpc_client, protocol=self.protocol)
+            self.config_tracker = ConfigTracker(
+                host=host, gossip=self.gossip, rpc_client=rpc_client, protocol=self.protocol
+            )
             self.directory = Directory(host=host, deployment=deployment, protocol=self.protocol)
-            self.verdicts = Verdicts(host=host)
+            self.engine_health = EngineHealth(host=host)
             self.load_tracker = LoadTracker(host=host)
-            self.budget = Budget(deployment=deployment, born=host.elapsed())
+            self.budget = Budget(deployment=deployment, started_at=host.elapsed())
             self.placement = Placement(host=host, zone=settings.site, load_tracker=self.load_tracker)
             self.engine_client = EngineClient(host=host, protocol=self.protocol, connections=connections)
             self.dispatcher = Dispatcher(
                 host=host, protocol=self.protocol, directory=self.directory, engine_client=self.engine_client,
-                load_tracker=self.load_tracker, placement=self.placement, verdicts=self.verdicts, budget=self.budget,
-                clock=self.gossip.clock, daemons=self.daemons,
+                load_tracker=self.load_tracker, placement=self.placement, engine_health=self.engine_health,
+                budget=self.budget, clock=self.gossip.clock, daemons=self.daemons,
             )  # fmt: skip
             self.table = Table(
-                host=host, protocol=self.protocol, tracker=self.tracker, directory=self.directory,
-                dispatcher=self.dispatcher, verdicts=self.verdicts, budget=self.budget,
+                host=host, protocol=self.protocol, config_tracker=self.config_tracker, directory=self.directory,
+                dispatcher=self.dispatcher, engine_health=self.engine_health, budget=self.budget,
             )  # fmt: skip
             self.gossip.keeps_works = True
             self.fetching = False
-            self.looking: set[str] = set()
+            self.probing: set[str] = set()
             rpc_server = RpcServer(
                 host=host,
                 listener=listener,
-                answers={NewsAsk: self.tracker.on_news, DirectoryAsk: self.on_directory},
+                answers={NewsAsk: self.config_tracker.on_news, DirectoryAsk: self.on_directory},
             )
             for task in (
-                rpc_server.run, self.gossip.run_receiving, self.gossip.run_asking, self.tracker.run, self.run_passes,
-                self.run_list,
+                rpc_server.run, self.gossip.run_receiving, self.gossip.run_asking, self.config_tracker.run,
+                self.run_maintenance, self.run_list_refresh,
             ):  # fmt: skip
                 task_group.supervise(task=task)
             task_group.supervise(
@@ -113,7 +117,8 @@
             yield self
 
     def drain(self) -> int:
-        """Not ready from now on; says how many requests are open, and one more while new ones may still come."""
+        """Marks the daemon as not ready. Returns the number of busy connections, plus one while new requests may still
+        arrive."""
         now = self.host.elapsed()
         if self.leaving is None:
             self.leaving = Leaving(told_at=now, ends_at=now + ms(self.settings.drainMs))
@@ -124,7 +129,7 @@
         return self.served.busy + self.leaving.lingers(now=now)
 
     def is_ready(self) -> bool:
-        return self.leaving is None and self.tracker.table is not None and bool(self.directory.rows)
+        return self.leaving is None and self.config_tracker.table is not None and bool(self.directory.rows)
 
     # HTTP.
 
@@ -156,110 +161,118 @@
         return {
             "name": self.settings.name,
             "ready": self.is_ready(),
-            "version": self.tracker.table.version if self.tracker.table else None,
+            "version": self.config_tracker.table.version if self.config_tracker.table else None,
             "engines": len(self.directory.rows),
-            "failing": sorted(e for e in self.directory.rows if self.verdicts.failing(engine=e)),
+            "failing": sorted(e for e in self.directory.rows if self.engine_health.is_failing(engine=e)),
             "list_age_ms": min(to_ms(self.directory.age), 86_400_000),
             "peers": [card.name for card in self.peers.standing()],
             "clock": self.gossip.report(),
         }
 
-    # Together with the other daemons.
+    # Exchange with the other daemons, and periodic maintenance.
 
     def edges(self) -> list[PeerCard]:
         return [card for card in self.peers.standing() if card.role == "edge"]
 
     def daemons(self) -> int:
-        """How many share what the fleet shares."""
+        """The number of live edge daemons, this one included."""
         return len(self.edges()) + 1
 
-    def run_passes(self) -> None:
-        told_at, swept_at, last = -TELL_IDLE, ZERO, {}
+    def run_maintenance(self) -> None:
+        sent_at, swept_at, last_summary = -IDLE_REPORT_INTERVAL, ZERO, {}
         while True:
-            self.host.sleep(wait=PASS)
-            self._hear()
-            self._take_limits()
+            self.host.sleep(wait=MAINTENANCE_INTERVAL)
+            self._receive_messages()
+            self._apply_limits()
             self.table.expire()
             self.table.cancel()
             self.table.abandon()
-            self._look_at_failing()
-            self._forget_memory()
+            self._probe_failing()
+            self._free_kv()
             now = self.host.elapsed()
             summary = self.load_tracker.summary()
-            changed = summary != last or bool(self.verdicts.told())
-            wait = PASS if changes(before=last, now=summary) >= TELL_AT_ONCE_MS else TELL if changed else TELL_IDLE
-            if now - told_at >= wait:
-                self._tell(works=summary)
-                told_at, last = now, summary
-            if now - swept_at >= TELL_IDLE:
+            changed = summary != last_summary or bool(self.engine_health.summary())
+            wait = (
+                MAINTENANCE_INTERVAL
+                if backlog_change(previous=last_summary, now=summary) >= URGENT_BACKLOG_CHANGE_MS
+                else REPORT_INTERVAL
+                if changed
+                else IDLE_REPORT_INTERVAL
+            )
+            if now - sent_at >= wait:
+                self._send_summary(works=summary)
+                sent_at, last_summary = now, summary
+            if now - swept_at >= IDLE_REPORT_INTERVAL:
                 swept_at = now
                 self.connections.sweep()
-                self.verdicts.forget(engines=set(self.directory.rows))
+                self.engine_health.forget(engines=set(self.directory.rows))
                 names = {card.name for card in self.edges()}
                 self.load_tracker.forget(live=names)
                 self.budget.forget(live=names)
 
-    def _take_limits(self) -> None:
-        """Clients have the times and sizes of the configuration in force."""
-        if self.tracker.table is not None:
-            limits = self.tracker.table.limits
-            self.served.limits = HeadLimits(size_bytes=limits.header_bytes, span=limits.header, idle=limits.idle)
+    def _apply_limits(self) -> None:
+        """Applies the client limits of the current configuration."""
+        if self.config_tracker.table is not None:
+            limits = self.config_tracker.table.limits
+            self.served.limits = HeadLimits(
+                size_bytes=limits.header_bytes, span=limits.header_timeout, idle=limits.idle_timeout
+            )
 
-    def _hear(self) -> None:
+    def _receive_messages(self) -> None:
         self.gossip.summaries.clear()
         moving, self.gossip.moving[:] = list(self.gossip.moving), []
         for arrived, message in moving:
             self.dispatcher.moving[message.engine] = (message.phase, arrived + ms(message.left_ms))
-        heard, self.gossip.works[:] = list(self.gossip.works), []
-        for arrived, summary in heard:
+        received, self.gossip.works[:] = list(self.gossip.works), []
+        for arrived, summary in received:
             name = summary.sender.name
-            self.load_tracker.hear(daemon=name, works=summary.works)
-            self.verdicts.hear(told=summary.verdicts)
-            self.budget.hear(daemon=name, told=summary.spent)
-            wanting = self.directory.hear(
+            self.load_tracker.update_peer(daemon=name, works=summary.works)
+            self.engine_health.update_from_peer(summary=summary.verdicts)
+            self.budget.update_peer(daemon=name, draws=summary.spent)
+            needs_full_list = self.directory.merge_peer(
                 digest=summary.list_digest, origin=summary.list_origin,
-                asked_at=arrived - ms(summary.list_age_ms), delta=summary.list_delta,
+                requested_at=arrived - ms(summary.list_age_ms), delta=summary.list_delta,
             )  # fmt: skip
-            if wanting and not self.fetching:
+            if needs_full_list and not self.fetching:
                 self.fetching = True
                 self.task_group.start(task=self._fetch_list, address=summary.sender.address, digest=summary.list_digest)
-            if summary.mark > self.tracker.mark:
-                self.task_group.start(task=self.tracker.ask_peer, address=summary.sender.address)
+            if summary.mark > self.config_tracker.mark:
+                self.task_group.start(task=self.config_tracker.poll_peer, address=summary.sender.address)
 
-    def _tell(self, *, works: dict[str, list[int]], everyone: bool = False) -> None:
+    def _send_summary(self, *, works: dict[str, list[int]], to_all: bool = False) -> None:
         directory = self.directory
         edges = self.edges()
-        known = bool(directory.rows)
-        delta = directory.delta if everyone and directory.delta and directory.delta["from"] else None
+        has_list = bool(directory.rows)
+        delta = directory.delta if to_all and directory.delta and directory.delta["from"] else None
         summary = WorkSummary(
-            sender=self.peers.me(), mark=self.tracker.mark, works=works,
-            list_digest=directory.digest if known else "", list_age_ms=min(to_ms(directory.age), 86_400_000),
-            list_origin=directory.origin, list_delta=delta, verdicts=self.verdicts.told(),
-            spent=self.budget.told(), peers=[],
+            sender=self.peers.me(), mark=self.config_tracker.mark, works=works,
+            list_digest=directory.digest if has_list else "", list_age_ms=min(to_ms(directory.age), 86_400_000),
+            list_origin=directory.origin, list_delta=delta, verdicts=self.engine_health.summary(),
+            spent=self.budget.summary(), peers=[],
         )  # fmt: skip
-        chosen = edges if everyone else self.host.random.sample(edges, min(TELL_TO, len(edges)))
-        addresses = [card.address for card in chosen]
-        if self.tracker.head:
-            addresses.append(self.tracker.head)
+        recipients = edges if to_all else self.host.random.sample(edges, min(REPORT_FANOUT, len(edges)))
+        addresses = [card.address for card in recipients]
+        if self.config_tracker.head:
+            addresses.append(self.config_tracker.head)
         self.gossip.send_all(addresses=addresses, message=summary)
 
-    # The list of engines.
+    # The engine list.
 
-    def run_list(self) -> None:
-        """Asks the platform when it is this daemon's turn, and tells everyone."""
+    def run_list_refresh(self) -> None:
+        """Fetches the list from the platform when it is this daemon's turn, and sends it to all edges."""
         while True:
-            self.host.sleep(wait=PASS * 2)
-            names = sorted([card.address for card in self.edges()] + [self.settings.address])
-            if self.directory.due(place=names.index(self.settings.address)) and self.directory.refresh():
-                self._tell(works=self.load_tracker.summary(), everyone=True)
+            self.host.sleep(wait=MAINTENANCE_INTERVAL * 2)
+            addresses = sorted([card.address for card in self.edges()] + [self.settings.address])
+            if self.directory.due(rank=addresses.index(self.settings.address)) and self.directory.refresh():
+                self._send_summary(works=self.load_tracker.summary(), to_all=True)
 
     def _fetch_list(self, *, address: str, digest: str) -> None:
         try:
-            asked = self.host.elapsed()
-            reply = self.rpc_client.call(address=address, request=DirectoryAsk(digest=digest), wait=DIRECTORY_LIMIT)
+            requested_at = self.host.elapsed()
+            reply = self.rpc_client.call(address=address, request=DirectoryAsk(digest=digest), wait=DIRECTORY_TIMEOUT)
             rows = {fields["engine"]: EngineEntry(**fields) for fields in reply.engines}
             if reply.digest:
-                self.directory.take(rows=rows, asked_at=asked - ms(reply.age_ms), origin=reply.origin)
+                self.directory.replace(rows=rows, requested_at=requested_at - ms(reply.age_ms), origin=reply.origin)
         except OSError:
             return
         finally:
@@ -269,29 +282,29 @@
         directory = self.directory
         age_ms = min(to_ms(directory.age), 86_400_000)
         return DirectoryReply(
-            digest=directory.digest, origin=directory.origin, age_ms=age_ms, engines=directory.fields()
+            digest=directory.digest, origin=directory.origin, age_ms=age_ms, engines=directory.to_fields()
         )
 
-    # Engines that were found failing, and memory that nobody takes.
+    # Probes of failing engines, and KV cache that no request will use.
 
-    def _look_at_failing(self) -> None:
-        for engine in {*self.verdicts.to_look_at(), *self.table.silent()}:
+    def _probe_failing(self) -> None:
+        for engine in {*self.engine_health.due_for_probe(), *self.table.silent()}:
             row = self.directory.rows.get(engine)
-            if row is not None and engine not in self.looking:
-                self.looking.add(engine)
-                self.task_group.start(task=self._look_at, engine=row)
+            if row is not None and engine not in self.probing:
+                self.probing.add(engine)
+                self.task_group.start(task=self._probe, engine=row)
 
-    def _look_at(self, *, engine: EngineEntry) -> None:
+    def _probe(self, *, engine: EngineEntry) -> None:
         try:
-            service = self.tracker.table.services.get(engine.service) if self.tracker.table else None
+            service = self.config_tracker.table.services.get(engine.service) if self.config_tracker.table else None
             if service is not None and self.engine_client.well(engine=engine, path=service.health_path):
-                self.verdicts.note_success(engine=engine.engine)
+                self.engine_health.note_success(engine=engine.engine)
             else:
-                self.verdicts.note_failure(engine=engine.engine, why="its health answer is not good")
+                self.engine_health.note_failure(engine=engine.engine, why="health check failed")
         finally:
-            self.looking.discard(engine.engine)
+            self.probing.discard(engine.engine)
 
-    def _forget_memory(self) -> None:
-        dropped, self.dispatcher.to_forget[:] = list(self.dispatcher.to_forget), []
-        for kv_handle in dropped:
+    def _free_kv(self) -> None:
+        unused_handles, self.dispatcher.to_forget[:] = list(self.dispatcher.to_forget), []
+        for kv_handle in unused_handles:
             self.task_group.start(task=self.engine_client.forget, kv_handle=kv_handle)
--- a/dockmux/platform_proxy/engine_client.py
+++ b/dockmux/platform_proxy/engine_client.py
@@ -113,7 +113,9 @@
                 )  # fmt: skip
                 yield told
                 if isinstance(told, EngineResponse) and told.whole:
-                    self.connections.note_whole(stream=stream, keep=told.metadata.keep, closing=told.metadata.closing)
+                    self.connections.note_whole(
+                        stream=stream, keep=told.metadata.keep_alive, closing=told.metadata.closing
+                    )
             finally:
                 record.wait_over()
 
@@ -125,7 +127,7 @@
         headers = urllib3.HTTPHeaderDict()
         for name, value in self.protocol.engine_headers(
             headers=record.headers, engine=engine, left=record.until - now, urgency=record.route.urgency,
-            reading=reading, kv_handle=kv_handle, last_event=last,
+            prefill=reading, kv_handle=kv_handle, last_event=last,
         ):  # fmt: skip
             headers.add(name, value)
         record.wait_for(engine=engine.engine, wire=stream, now=now, reading=reading)
@@ -144,7 +146,7 @@
             with contextlib.suppress(*WIRE_ERRORS):
                 for _ in answer.pieces():
                     continue
-                self.connections.note_whole(stream=stream, keep=told.keep, closing=told.closing)
+                self.connections.note_whole(stream=stream, keep=told.keep_alive, closing=told.closing)
             return TurnedAway(why=f"turned away with {response.status}", other_engine=told.other_engine)
         if spoiled:
             self.host.log(
@@ -201,7 +203,7 @@
                 response = stream.getresponse()
                 data = response.read()
                 told = self.protocol.parse_response(status=response.status, headers=list(response.headers.iteritems()))
-                self.connections.note_whole(stream=stream, keep=told.keep, closing=told.closing)
+                self.connections.note_whole(stream=stream, keep=told.keep_alive, closing=told.closing)
                 return response.status, data, told
         except WIRE_ERRORS:
             return None
--- a/dockmux/platform_proxy/load_tracker.py
+++ b/dockmux/platform_proxy/load_tracker.py
@@ -1,4 +1,4 @@
-"""The work that lies at each engine: this daemon's own exactly, the others' as they last told."""
+"""The open work at each engine: exact for this daemon, as last reported for the others."""
 
 import contextlib
 import dataclasses
@@ -10,114 +10,121 @@
 from dockmux.runtime.host import Host
 from dockmux.runtime.time_units import ZERO, ms, to_ms
 
-TOLD_FOR = timedelta(seconds=3)
+PEER_LOAD_TTL = timedelta(seconds=3)
 
 
 @dataclasses.dataclass(kw_only=True)
 class Load:
-    """One engine's open work from here. Invariant: `to_read` is the sum of the times that its open readings were
-    reckoned to take when they were sent: one that takes longer than that still lies there until it has come."""
+    """This daemon's open work at one engine. Invariant: `prefill_backlog` is the sum of the durations estimated for the
+    open prefills when they were sent; a prefill that takes longer counts in full until its end."""
 
     streams: int = 0
-    reading: int = 0
-    to_read: timedelta = ZERO
+    prefills: int = 0
+    prefill_backlog: timedelta = ZERO
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ReportedLoad:
-    """One engine's open work from another daemon, as it told at a time."""
+    """Another daemon's open work at one engine, as reported at `received_at` (monotonic)."""
 
-    at: timedelta
-    to_read: timedelta
+    received_at: timedelta
+    prefill_backlog: timedelta
     streams: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PeerSummary:
-    """When another daemon told last, and at which engines it has work."""
+    """When another daemon reported last, and the engines at which it has work."""
 
-    at: timedelta
+    received_at: timedelta
     engines: tuple[str, ...]
 
 
 class LoadTracker:
-    """Invariants: `summaries` has the last summary of each other daemon, and `told` what these say, by engine and
-    daemon: most daemons have work at few engines. They are used for a short while."""
+    """Sums up the load of each engine. Invariants: `peer_summaries` holds the last summary of each other daemon, and
+    `peer_loads` their contents by engine and daemon, because most daemons have work at few engines. They expire after
+    PEER_LOAD_TTL."""
 
     def __init__(self, *, host: Host) -> None:
         self.host = host
-        self.own: dict[str, Load] = {}
-        self.told: dict[str, dict[str, ReportedLoad]] = defaultdict(dict)
-        self.summaries: dict[str, PeerSummary] = {}
+        self.local_loads: dict[str, Load] = {}
+        self.peer_loads: dict[str, dict[str, ReportedLoad]] = defaultdict(dict)
+        self.peer_summaries: dict[str, PeerSummary] = {}
 
     @contextlib.contextmanager
-    def reading(self, *, engine: str, span: timedelta) -> Iterator[None]:
-        """A prompt is being read there, for about so long once it is its turn."""
-        load = self.own.setdefault(engine, Load())
-        load.to_read += span
-        load.reading += 1
+    def prefilling(self, *, engine: str, span: timedelta) -> Iterator[None]:
+        """Counts a prefill at the engine while the context is open; `span` is its estimated time without queueing."""
+        load = self.local_loads.setdefault(engine, Load())
+        load.prefill_backlog += span
+        load.prefills += 1
         try:
             yield
         finally:
-            load.reading -= 1
-            load.to_read -= span
-            self._tidy(engine=engine)
+            load.prefills -= 1
+            load.prefill_backlog -= span
+            self._remove_if_idle(engine=engine)
 
     @contextlib.contextmanager
     def streaming(self, *, engine: str) -> Iterator[None]:
-        load = self.own.setdefault(engine, Load())
+        """Counts a stream at the engine while the context is open."""
+        load = self.local_loads.setdefault(engine, Load())
         load.streams += 1
         try:
             yield
         finally:
             load.streams -= 1
-            self._tidy(engine=engine)
+            self._remove_if_idle(engine=engine)
 
-    def _tidy(self, *, engine: str) -> None:
-        load = self.own.get(engine)
-        if load is not None and not load.reading and not load.streams:
-            del self.own[engine]
+    def _remove_if_idle(self, *, engine: str) -> None:
+        load = self.local_loads.get(engine)
+        if load is not None and not load.prefills and not load.streams:
+            del self.local_loads[engine]
 
     def backlog(self, *, engine: str) -> timedelta:
-        """How long what is to be read there will take, as far as is known."""
+        """The estimated time for all known prefills at the engine."""
         now = self.host.elapsed()
-        load = self.own.get(engine)
-        total = load.to_read if load is not None else ZERO
-        for row in self._fresh(engine=engine, now=now):
-            # Part of it was read since; how much is not known before the next word.
-            left = row.to_read - (now - row.at) / 2
-            if left > ZERO:
-                total += left
+        load = self.local_loads.get(engine)
+        total = load.prefill_backlog if load is not None else ZERO
+        for row in self._fresh_loads(engine=engine, now=now):
+            # Part of it has been prefilled since; how much is not known until the next report.
+            remaining = row.prefill_backlog - (now - row.received_at) / 2
+            if remaining > ZERO:
+                total += remaining
         return total
 
     def streams(self, *, engine: str) -> int:
-        load = self.own.get(engine)
+        """The number of known streams at the engine."""
+        load = self.local_loads.get(engine)
         count = load.streams if load is not None else 0
-        return count + sum(row.streams for row in self._fresh(engine=engine, now=self.host.elapsed()))
+        return count + sum(row.streams for row in self._fresh_loads(engine=engine, now=self.host.elapsed()))
 
-    def _fresh(self, *, engine: str, now: timedelta) -> Iterable[ReportedLoad]:
-        rows = self.told.get(engine)
-        return [row for row in rows.values() if now - row.at < TOLD_FOR] if rows else ()
+    def _fresh_loads(self, *, engine: str, now: timedelta) -> Iterable[ReportedLoad]:
+        rows = self.peer_loads.get(engine)
+        return [row for row in rows.values() if now - row.received_at < PEER_LOAD_TTL] if rows else ()
 
     def summary(self) -> dict[str, list[int]]:
-        return {engine: [to_ms(load.to_read), load.streams] for engine, load in self.own.items()}
+        """This daemon's prefill backlog in ms and streams, by engine."""
+        return {engine: [to_ms(load.prefill_backlog), load.streams] for engine, load in self.local_loads.items()}
 
-    def hear(self, *, daemon: str, works: dict[str, Any]) -> None:
-        """Another daemon's summary, the ms to be read and the streams by engine; it replaces the one before."""
+    def update_peer(self, *, daemon: str, works: dict[str, Any]) -> None:
+        """Replaces another daemon's summary, which has the prefill backlog in ms and the streams by engine."""
         now = self.host.elapsed()
         self._drop(daemon=daemon)
-        self.summaries[daemon] = PeerSummary(at=now, engines=tuple(works))
-        for engine, (to_read_ms, streams) in works.items():
-            self.told[engine][daemon] = ReportedLoad(at=now, to_read=ms(to_read_ms), streams=streams)
+        self.peer_summaries[daemon] = PeerSummary(received_at=now, engines=tuple(works))
+        for engine, (backlog_ms, streams) in works.items():
+            self.peer_loads[engine][daemon] = ReportedLoad(
+                received_at=now, prefill_backlog=ms(backlog_ms), streams=streams
+            )
 
     def forget(self, *, live: set[str]) -> None:
-        for daemon in [daemon for daemon in self.summaries if daemon not in live]:
+        """Drops the summaries of daemons that are not live."""
+        for daemon in [daemon for daemon in self.peer_summaries if daemon not in live]:
             self._drop(daemon=daemon)
 
     def _drop(self, *, daemon: str) -> None:
-        before = self.summaries.pop(daemon, None)
-        for engine in before.engines if before is not None else ():
-            rows = self.told[engine]
+        previous = self.peer_summaries.pop(daemon, None)
+        for engine in previous.engines if previous is not None else ():
+            rows = self.peer_loads[engine]
             del rows[daemon]
             if not rows:
-                del self.told[engine]
+                del self.peer_loads[engine]
--- a/dockmux/platform_proxy/operator_api.py
+++ b/dockmux/platform_proxy/operator_api.py
@@ -1,4 +1,4 @@
-"""What operators ask of a control daemon where they number their configurations themselves."""
+"""The control daemon's operator interface for deployments whose operators number their configurations themselves."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -10,8 +10,8 @@
 
 
 class OperatorApi:
-    """Invariants: a configuration is judged before it enters the chain, and handed back as it was sent; nothing is
-    acknowledged that the chain has not."""
+    """Invariants: a configuration is validated before it enters the chain, and returned byte for byte; it is
+    acknowledged only after the chain has acknowledged it."""
 
     def __init__(self, *, core: Any, protocol: ProtocolAdapter) -> None:
         self.core = core
@@ -29,13 +29,13 @@
         return self.core.handle_http(exchange)
 
     def _put(self, *, exchange: HttpExchange) -> Outcome:
-        limitBytes = self.core.settings.bodyLimitKb * 1024
-        data = exchange.body(limitBytes=limitBytes)
+        limit_bytes = self.core.settings.bodyLimitKb * 1024
+        data = exchange.body(limitBytes=limit_bytes)
         if data is None:
-            return Outcome(kind=OutcomeKind.TOO_LARGE, detail={"limitKb": limitBytes // 1024})
+            return Outcome(kind=OutcomeKind.TOO_LARGE, detail={"limitKb": limit_bytes // 1024})
         based_on = self.protocol.base_version(headers=exchange.headers)
         if based_on is None:
-            return Outcome(kind=OutcomeKind.MARK_MISSING, detail={"why": "name the version that you started from"})
+            return Outcome(kind=OutcomeKind.MARK_MISSING, detail={"why": "the base version is missing"})
         try:
             text = data.decode()
             table = self.protocol.parse_config(text=text)
@@ -45,9 +45,9 @@
         return self.core.chain.write(change=change)
 
     def _get(self, *, exchange: HttpExchange) -> Iterable[bytes]:
-        """The newest acknowledged configuration, as it was sent."""
+        """Answers with the newest acknowledged configuration, as it was sent."""
         if not self.core.chain.confirm():
-            why = {"why": "the tail did not confirm under its permit"}
+            why = {"why": "the chain's tail did not confirm under its lease"}
             return exchange.conclude(outcome=Outcome(kind=OutcomeKind.NO_MAJORITY, detail=why))
         config = self.core.chain.state.config
         if config is None:
--- a/dockmux/platform_proxy/phase_balancer.py
+++ b/dockmux/platform_proxy/phase_balancer.py
@@ -1,4 +1,4 @@
-"""Moves engines between reading and writing; one daemon at a time, under the head's permit."""
+"""Moves engines between the prefill and decode phases; only the chain's head does so, while it holds its lease."""
 
 import dataclasses
 from collections.abc import Callable
@@ -15,59 +15,70 @@
 from dockmux.runtime.messages import DirectoryAsk, Moving
 from dockmux.runtime.time_units import ZERO, ms, to_ms
 
-TICK = timedelta(milliseconds=250)
-# The daemons hear of a move so long before its order, so that what they send after has another engine.
-AHEAD = timedelta(milliseconds=150)
-ORDER_LIMIT = timedelta(milliseconds=500)
-FETCH_LIMIT = timedelta(milliseconds=800)
-# A service is left alone for so long after one of its engines was ordered to move.
-SETTLE = timedelta(seconds=1)
-# So long is an engine counted as changing, unless the list shows its new phase before.
-CHANGING = timedelta(seconds=12)
-SMOOTH_PART = 0.3
-# What lies to be read at each reader, in ms, from which one more is wanted, and up to which one can be spared to
-# writers that are pressed themselves.
-READ_PRESSED_MS = 100.0
-READ_SPARES_MS = 400.0
-# The part of a writer's slots that may run after it has one writer less, and from which one more is wanted.
-WRITE_AFTER = 0.33
-WRITE_PRESSED = 0.45
-LEAST = 2
-# The part of a service's engines that may change at a time, at least one.
-CHANGING_PART = 0.25
+BALANCE_INTERVAL = timedelta(milliseconds=250)
+# Edges are told of a phase change this long before the order, so that they send new requests to other engines.
+ANNOUNCE_LEAD = timedelta(milliseconds=150)
+ORDER_TIMEOUT = timedelta(milliseconds=500)
+FETCH_TIMEOUT = timedelta(milliseconds=800)
+# Minimum time between two phase changes of one service.
+SERVICE_COOLDOWN = timedelta(seconds=1)
+# An engine counts as changing for this long, unless the engine list shows its new phase earlier.
+PHASE_CHANGE_TIMEOUT = timedelta(seconds=12)
+LOAD_SMOOTHING = 0.3
+# Prefill backlog per prefill engine above which another one is wanted, and below which one can be given to overloaded
+# decode engines.
+PREFILL_OVERLOAD_MS = 100.0
+PREFILL_SPARE_MS = 400.0
+# Share of decode slots in use that is acceptable with one decode engine fewer, and above which another one is wanted.
+DECODE_SPARE_USE = 0.33
+DECODE_OVERLOAD_USE = 0.45
+MIN_ENGINES_PER_PHASE = 2
+# Share of a service's engines that may change phase at the same time; at least one may.
+MAX_CHANGING_RATIO = 0.25
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Pressure:
-    """One service's work: what lies at all readers to be read, in ms, and the streams at all writers."""
+class ServiceLoad:
+    """A service's load: the prefill backlog over all its engines, in ms, and its open streams."""
 
-    to_read_ms: float
+    prefill_backlog_ms: float
     streams: float
 
 
-def choose_phase(*, readers: int, writers: int, slots: int, pressure: Pressure) -> str | None:
-    """The phase that wants one more engine, if any, and the other can spare it."""
-    to_read_ms = pressure.to_read_ms / max(readers, 1)
-    running = pressure.streams / (max(writers, 1) * max(slots, 1))
-    if not writers and readers:
-        # Nobody can answer; one that writes also reads.
+def choose_phase(*, prefill_count: int, decode_count: int, slots: int, load: ServiceLoad) -> str | None:
+    """The phase that should get one more engine, or None when none needs it or the other cannot spare one. The counts
+    include engines that are changing to that phase; `slots` is the decode slots of one engine."""
+    prefill_backlog_ms = load.prefill_backlog_ms / max(prefill_count, 1)
+    decode_use = load.streams / (max(decode_count, 1) * max(slots, 1))
+    if not decode_count and prefill_count:
+        # No engine can answer; a decode engine can also prefill.
         return "decode"
-    if writers < LEAST and readers > LEAST:
+    if decode_count < MIN_ENGINES_PER_PHASE and prefill_count > MIN_ENGINES_PER_PHASE:
         return "decode"
-    if readers < LEAST and writers > LEAST:
+    if prefill_count < MIN_ENGINES_PER_PHASE and decode_count > MIN_ENGINES_PER_PHASE:
         return "prefill"
-    if writers > LEAST and to_read_ms > READ_PRESSED_MS and running * writers / (writers - 1) < WRITE_AFTER:
+    if (
+        decode_count > MIN_ENGINES_PER_PHASE
+        and prefill_backlog_ms > PREFILL_OVERLOAD_MS
+        and decode_use * decode_count / (decode_count - 1) < DECODE_SPARE_USE
+    ):
         return "prefill"
-    if readers > LEAST and running > WRITE_PRESSED and to_read_ms < READ_SPARES_MS:
+    if (
+        prefill_count > MIN_ENGINES_PER_PHASE
+        and decode_use > DECODE_OVERLOAD_USE
+        and prefill_backlog_ms < PREFILL_SPARE_MS
+    ):
         return "decode"
     return None
 
 
 class PhaseBalancer:
-    """Invariants: an order leaves only while this daemon's permit as the head holds for longer than the order can be
-    on its way, and not before a whole lease has passed since any former holder's permit ended; its fence is the number
-    of the view that the permit was granted under, which no other head ever has; only a part of a service's engines
-    changes at a time, and they are counted as what they become."""
+    """Follows the load of each service and orders phase changes.
+
+    Invariants: an order is sent only while this daemon's lease as the head lasts longer than the order can be in
+    transit, and not before a whole lease has passed since any former head's lease ended; its fence is the number of the
+    view that the lease was granted under, which no other head ever has; only some of a service's engines change at the
+    same time, and they are counted in their target phase."""
 
     def __init__(self, *, core: Any, deployment: Deployment, protocol: ProtocolAdapter) -> None:
         self.core = core
@@ -77,12 +88,13 @@
         self.load_tracker = LoadTracker(host=self.host)
         self.rows: dict[str, EngineEntry] = {}
         self.digest = ""
-        self.pressure: dict[str, Pressure] = {}
-        self.moved_at: dict[str, timedelta] = {}
+        self.loads: dict[str, ServiceLoad] = {}
+        self.ordered_at: dict[str, timedelta] = {}
         self.changing: dict[str, tuple[str, timedelta]] = {}
-        self.failing: dict[str, timedelta] = {}
+        self.failing_until: dict[str, timedelta] = {}
 
-    def in_charge(self) -> bool:
+    def may_issue_orders(self) -> bool:
+        """Whether this daemon is the head and its lease outlasts an order sent now."""
         agreement = self.core.agreement
         now = self.host.elapsed()
         return (
@@ -90,32 +102,32 @@
             and not agreement.leaving
             and agreement.holds_lease()
             and now >= agreement.acts_from + self.deployment.lease
-            and agreement.lease_until() - now > ORDER_LIMIT
+            and agreement.lease_until() - now > ORDER_TIMEOUT
         )
 
     def run(self) -> None:
         self.core.gossip.keeps_works = True
         with Connections(host=self.host) as connections:
             while True:
-                self.host.sleep(wait=TICK)
-                self._hear()
-                self._smooth()
-                if self.in_charge():
+                self.host.sleep(wait=BALANCE_INTERVAL)
+                self._receive_summaries()
+                self._update_loads()
+                if self.may_issue_orders():
                     self._balance(connections=connections)
 
-    def _hear(self) -> None:
+    def _receive_summaries(self) -> None:
         works = self.core.gossip.works
-        heard, works[:] = list(works), []
-        for _, summary in heard:
-            self.load_tracker.hear(daemon=summary.sender.name, works=summary.works)
-            for engine, (well, _, left_ms) in summary.verdicts.items():
-                self.failing[engine] = self.host.elapsed() + (ZERO if well else ms(left_ms) + ms(1000))
+        received, works[:] = list(works), []
+        for _, summary in received:
+            self.load_tracker.update_peer(daemon=summary.sender.name, works=summary.works)
+            for engine, (healthy, _, left_ms) in summary.verdicts.items():
+                self.failing_until[engine] = self.host.elapsed() + (ZERO if healthy else ms(left_ms) + ms(1000))
             if summary.list_digest and summary.list_digest != self.digest and self.core.agreement.is_head():
-                self._fetch(address=summary.sender.address, digest=summary.list_digest)
+                self._fetch_list(address=summary.sender.address, digest=summary.list_digest)
 
-    def _fetch(self, *, address: str, digest: str) -> None:
+    def _fetch_list(self, *, address: str, digest: str) -> None:
         try:
-            reply = self.core.rpc_client.call(address=address, request=DirectoryAsk(digest=digest), wait=FETCH_LIMIT)
+            reply = self.core.rpc_client.call(address=address, request=DirectoryAsk(digest=digest), wait=FETCH_TIMEOUT)
             self.rows = {fields["engine"]: EngineEntry(**fields) for fields in reply.engines}
             self.digest = reply.digest
         except OSError:
@@ -134,64 +146,65 @@
             if row.service == service
             and not row.leaving
             and row.engine not in self.changing
-            and self.failing.get(row.engine, ZERO) <= now
+            and self.failing_until.get(row.engine, ZERO) <= now
         ]
 
-    def _smooth(self) -> None:
+    def _update_loads(self) -> None:
         for service in {row.service for row in self.rows.values()}:
             rows = [row for row in self.rows.values() if row.service == service]
-            to_read = sum((self.load_tracker.backlog(engine=r.engine) for r in rows), ZERO) / ms(1)
+            backlog_ms = sum((self.load_tracker.backlog(engine=r.engine) for r in rows), ZERO) / ms(1)
             streams = float(sum(self.load_tracker.streams(engine=r.engine) for r in rows))
-            before = self.pressure.get(service, Pressure(to_read_ms=0.0, streams=0.0))
-            self.pressure[service] = Pressure(
-                to_read_ms=before.to_read_ms + SMOOTH_PART * (to_read - before.to_read_ms),
-                streams=before.streams + SMOOTH_PART * (streams - before.streams),
+            previous = self.loads.get(service, ServiceLoad(prefill_backlog_ms=0.0, streams=0.0))
+            self.loads[service] = ServiceLoad(
+                prefill_backlog_ms=previous.prefill_backlog_ms
+                + LOAD_SMOOTHING * (backlog_ms - previous.prefill_backlog_ms),
+                streams=previous.streams + LOAD_SMOOTHING * (streams - previous.streams),
             )
 
     def _balance(self, *, connections: Connections) -> None:
-        for service in sorted(self.pressure):
+        for service in sorted(self.loads):
             now = self.host.elapsed()
-            if now - self.moved_at.get(service, -SETTLE) < SETTLE:
+            if now - self.ordered_at.get(service, -SERVICE_COOLDOWN) < SERVICE_COOLDOWN:
                 continue
             rows = self.usable(service=service)
-            becoming = [phase for e, (phase, _) in self.changing.items() if self.rows[e].service == service]
-            if len(becoming) >= max(CHANGING_PART * (len(rows) + len(becoming)), 1):
+            target_phases = [phase for e, (phase, _) in self.changing.items() if self.rows[e].service == service]
+            if len(target_phases) >= max(MAX_CHANGING_RATIO * (len(rows) + len(target_phases)), 1):
                 continue
-            readers = [row for row in rows if row.phase == "prefill"]
-            writers = [row for row in rows if row.phase == "decode"]
+            prefill_engines = [row for row in rows if row.phase == "prefill"]
+            decode_engines = [row for row in rows if row.phase == "decode"]
             phase = choose_phase(
-                readers=len(readers) + becoming.count("prefill"),
-                writers=len(writers) + becoming.count("decode"),
+                prefill_count=len(prefill_engines) + target_phases.count("prefill"),
+                decode_count=len(decode_engines) + target_phases.count("decode"),
                 slots=max((row.slots for row in rows), default=0),
-                pressure=self.pressure[service],
+                load=self.loads[service],
             )
             if phase is None:
                 continue
-            givers = writers if phase == "prefill" else readers
-            if len(givers) < (LEAST if writers else 1):
+            donors = decode_engines if phase == "prefill" else prefill_engines
+            if len(donors) < (MIN_ENGINES_PER_PHASE if decode_engines else 1):
                 continue
-            engine = min(givers, key=self._weight)
-            self.moved_at[service] = now
-            self._move(engine=engine, phase=phase, connections=connections)
+            engine = min(donors, key=self._load_key)
+            self.ordered_at[service] = now
+            self._change_phase(engine=engine, phase=phase, connections=connections)
 
-    def _weight(self, engine: EngineEntry) -> tuple[timedelta, int, str]:
+    def _load_key(self, engine: EngineEntry) -> tuple[timedelta, int, str]:
         name = engine.engine
         return self.load_tracker.backlog(engine=name), self.load_tracker.streams(engine=name), name
 
-    def _move(self, *, engine: EngineEntry, phase: str, connections: Connections) -> None:
-        self._tell(engine=engine, phase=phase, left=CHANGING)
-        self.host.sleep(wait=AHEAD)
-        if not self.in_charge():
+    def _change_phase(self, *, engine: EngineEntry, phase: str, connections: Connections) -> None:
+        self._announce(engine=engine, phase=phase, remaining=PHASE_CHANGE_TIMEOUT)
+        self.host.sleep(wait=ANNOUNCE_LEAD)
+        if not self.may_issue_orders():
             return
         fence = self.core.agreement.view.number
         body = self.protocol.phase_order(phase=phase, owner=self.host.name, fence=fence)
         status = 0
         try:
             with (
-                time_limit(wait=ORDER_LIMIT),
+                time_limit(wait=ORDER_TIMEOUT),
                 connections.open(engine=engine.engine, address=engine.address) as stream,
             ):
-                if not self.in_charge():
+                if not self.may_issue_orders():
                     return
                 stream.request(
                     "POST", self.protocol.order_path, body=body, headers=self.protocol.order_headers(engine=engine),
@@ -204,15 +217,15 @@
         except WIRE_ERRORS as error:
             self.host.log(LogEvent.ORDER_FAILED, engine=engine.engine, phase=phase, why=error)
         if status in (200, 202):
-            self.changing[engine.engine] = (phase, self.host.elapsed() + CHANGING)
+            self.changing[engine.engine] = (phase, self.host.elapsed() + PHASE_CHANGE_TIMEOUT)
             self.host.log(LogEvent.ORDERED, engine=engine.engine, phase=phase, mark=fence)
         elif status:
             self.host.log(LogEvent.ORDER_FAILED, engine=engine.engine, phase=phase, why=f"answered {status}")
-            self._tell(engine=engine, phase=engine.phase, left=ZERO)
+            self._announce(engine=engine, phase=engine.phase, remaining=ZERO)
 
-    def _tell(self, *, engine: EngineEntry, phase: str, left: timedelta) -> None:
-        """Datagrams may be lost: told twice."""
-        message = Moving(sender=self.core.peers.me(), engine=engine.engine, phase=phase, left_ms=to_ms(left))
+    def _announce(self, *, engine: EngineEntry, phase: str, remaining: timedelta) -> None:
+        """Tells all edges of the phase change for the `remaining` time; sent twice, since datagrams may be lost."""
+        message = Moving(sender=self.core.peers.me(), engine=engine.engine, phase=phase, left_ms=to_ms(remaining))
         send: Callable[..., None] = self.core.gossip.send
         for _ in range(2):
             for card in {c.address: c for c in self.core.peers.live() + self.core.chain.sessions.standing()}.values():
--- a/dockmux/platform_proxy/placement.py
+++ b/dockmux/platform_proxy/placement.py
@@ -1,4 +1,4 @@
-"""Which engine reads a request's prompt and which one streams its answer."""
+"""Chooses the engine that prefills a request's prompt and the one that decodes its answer."""
 
 import dataclasses
 import hashlib
@@ -10,55 +10,59 @@
 from dockmux.runtime.host import Host
 from dockmux.runtime.time_units import ZERO, ms
 
-# A writing engine reads between the tokens of others: half as fast.
-DIRECT_SLOWER = 2.0
-# Each of the streams that run beside it is held up by it: what that is worth, as a part of the reading time.
-DISTURBS = 0.15
-# Handing over costs two calls, a move of memory, and what they cost besides.
-HAND_OVER = timedelta(milliseconds=40)
-OTHER_ZONE = timedelta(milliseconds=6)
-# What reading a shared part again, though an engine keeps it, and moving memory are worth, per token.
-READ_AGAIN = timedelta(microseconds=100)
-MOVED = timedelta(microseconds=20)
-# Every token of an answer comes later by so much for each stream that runs beside it.
-PER_STREAM_TOKEN = timedelta(microseconds=100)
-# The others choose by the same numbers, which are some time old: so many streams are drawn by chance.
-DRAWN_STREAMS = 2.0
-FIRST_TOKEN = timedelta(milliseconds=15)
-# Being taken up costs a reading some time besides its tokens.
-TAKE_UP = timedelta(milliseconds=12)
-# Reading pace before any was seen, tokens a ms.
-PACE_GUESS = 40.0
-PACE_PART = 0.1
-PACE_LEAST_TOKENS = 1000
-PARTS_KEPT = 4000
+# A decode engine interleaves a prefill with the tokens of running streams, at half the speed.
+DECODE_ENGINE_PREFILL_SLOWDOWN = 2.0
+# A prefill on a decode engine delays each stream running there; the cost per stream, as a part of the prefill time.
+STREAM_DELAY_RATIO = 0.15
+# Fixed cost of separate prefill: a second call, the start of the KV cache transfer, and their overhead.
+KV_TRANSFER_OVERHEAD = timedelta(milliseconds=40)
+CROSS_ZONE_LATENCY = timedelta(milliseconds=6)
+# Cost per token of recomputing a shared prefix that another engine has cached, and of moving KV cache.
+RECOMPUTE_COST_PER_TOKEN = timedelta(microseconds=100)
+KV_TRANSFER_COST_PER_TOKEN = timedelta(microseconds=20)
+# Each stream in the same batch delays every token of the others by this much.
+TOKEN_DELAY_PER_STREAM = timedelta(microseconds=100)
+# Up to this many streams are added at random, because the other daemons choose by the same, slightly old counts and
+# would all pick the same engine.
+MAX_RANDOM_STREAMS = 2.0
+FIRST_TOKEN_TIME = timedelta(milliseconds=15)
+# Time from sending a prefill to its start, besides the time for its tokens.
+PREFILL_SETUP_TIME = timedelta(milliseconds=12)
+# Prefill rate before the first measurement.
+INITIAL_PREFILL_TOKENS_PER_MS = 40.0
+PREFILL_RATE_SMOOTHING = 0.1
+MIN_RATE_SAMPLE_TOKENS = 1000
+MAX_CACHED_BLOCKS = 4000
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Pairing:
-    """Who reads and who writes; without a reader, the writer reads the prompt itself. `expected` is when the first
-    token comes, from now on; `wait` is the part of it for which others' prompts are read."""
-
-    reader: EngineEntry | None
-    reader_span: timedelta
-    writer: EngineEntry
-    writer_span: timedelta
-    expected: timedelta
-    wait: timedelta = ZERO
-
-    def names(self, *, engines: set[str]) -> bool:
-        """Whether any of these engines has a part in it."""
-        return self.writer.engine in engines or (self.reader is not None and self.reader.engine in engines)
+    """The engines for one request. Without a `prefill_engine`, the decode engine prefills the prompt itself, in
+    `local_prefill_time`. `expected_ttft` is the expected time to the first token, from now; `queue_wait` is the part of
+    it spent behind the prompts of other requests."""
+
+    prefill_engine: EngineEntry | None
+    prefill_time: timedelta
+    decode_engine: EngineEntry
+    local_prefill_time: timedelta
+    expected_ttft: timedelta
+    queue_wait: timedelta = ZERO
+
+    def includes(self, *, engines: set[str]) -> bool:
+        """Whether any of these engines is the prefill or the decode engine."""
+        return self.decode_engine.engine in engines or (
+            self.prefill_engine is not None and self.prefill_engine.engine in engines
+        )
 
 
-def shared_key(*, prefix_blocks: tuple[PrefixBlock, ...]) -> str:
-    """What requests that share their prompt's beginning have in common; empty when nothing is shared."""
+def shared_prefix_key(*, prefix_blocks: tuple[PrefixBlock, ...]) -> str:
+    """The key that requests with the same shared prefix have in common; empty without a shared prefix."""
     return ">".join(block.name for block in prefix_blocks[:-1])
 
 
-def order(*, key: str, engines: list[EngineEntry]) -> list[EngineEntry]:
-    """Rendezvous hashing: every daemon sends a shared beginning to the same engines without a message; when an engine
-    comes or goes only its own share moves."""
+def rendezvous_order(*, key: str, engines: list[EngineEntry]) -> list[EngineEntry]:
+    """Engines in rendezvous-hash order: every daemon maps a shared prefix to the same engines without coordination, and
+    only the share of an engine that is added or removed is remapped. The first engine is the prefix's home."""
 
     def score(engine: EngineEntry) -> bytes:
         return hashlib.sha256(f"{key}|{engine.engine}".encode()).digest()
@@ -67,120 +71,151 @@
 
 
 class Placement:
-    """Invariants: `kept` says which parts this daemon had an engine read and may still be there, oldest first; `pace`
-    is what was seen of reading, in tokens a ms, by service."""
+    """Scores pairings of engines by their expected time to first token and their cost to other requests.
+
+    Invariants: `cached_blocks` holds the (engine, block) pairs that this daemon had prefilled and that may still be
+    cached, oldest first; `prefill_rates` is the smoothed prefill rate by service, in tokens per ms."""
 
     def __init__(self, *, host: Host, zone: str, load_tracker: LoadTracker) -> None:
         self.host = host
         self.zone = zone
         self.load_tracker = load_tracker
-        self.kept: OrderedDict[tuple[str, str], None] = OrderedDict()
-        self.pace: dict[str, float] = {}
+        self.cached_blocks: OrderedDict[tuple[str, str], None] = OrderedDict()
+        self.prefill_rates: dict[str, float] = {}
 
-    def note_read(self, *, service: str, engine: str, prefix_blocks: tuple[PrefixBlock, ...]) -> None:
+    def note_prefill(self, *, service: str, engine: str, prefix_blocks: tuple[PrefixBlock, ...]) -> None:
         for block in prefix_blocks:
-            self.kept[(engine, block.name)] = None
-            self.kept.move_to_end((engine, block.name))
-        while len(self.kept) > PARTS_KEPT:
-            self.kept.popitem(last=False)
-
-    def note_pace(self, *, service: str, tokens: int, span: timedelta) -> None:
-        """A prompt was read while nothing else was known to lie there."""
-        took_ms = (span - TAKE_UP) / ms(1)
-        if tokens < PACE_LEAST_TOKENS or took_ms <= 0:
+            self.cached_blocks[(engine, block.name)] = None
+            self.cached_blocks.move_to_end((engine, block.name))
+        while len(self.cached_blocks) > MAX_CACHED_BLOCKS:
+            self.cached_blocks.popitem(last=False)
+
+    def note_prefill_rate(self, *, service: str, tokens: int, span: timedelta) -> None:
+        """Updates the prefill rate from a prompt that was prefilled on an engine with no other known prefill."""
+        took_ms = (span - PREFILL_SETUP_TIME) / ms(1)
+        if tokens < MIN_RATE_SAMPLE_TOKENS or took_ms <= 0:
             return
-        seen = min(max(tokens / took_ms, 1.0), 1000.0)
-        before = self.pace.get(service, PACE_GUESS)
-        self.pace[service] = before + PACE_PART * (seen - before)
-
-    def unread(self, *, engine: EngineEntry, metadata: RequestMetadata, home: bool) -> int:
-        """Tokens that would have to be read there; at its home a shared beginning is taken to be kept."""
-        known = 0
-        for place, block in enumerate(metadata.prefix_blocks):
-            shared = place < len(metadata.prefix_blocks) - 1
-            if not ((home and shared) or (engine.engine, block.name) in self.kept):
+        sample = min(max(tokens / took_ms, 1.0), 1000.0)
+        previous = self.prefill_rates.get(service, INITIAL_PREFILL_TOKENS_PER_MS)
+        self.prefill_rates[service] = previous + PREFILL_RATE_SMOOTHING * (sample - previous)
+
+    def uncached_tokens(self, *, engine: EngineEntry, metadata: RequestMetadata, is_home: bool) -> int:
+        """Prompt tokens that the engine would have to prefill; a shared prefix is assumed cached at its home engine."""
+        cached_tokens = 0
+        for position, block in enumerate(metadata.prefix_blocks):
+            shared = position < len(metadata.prefix_blocks) - 1
+            if not ((is_home and shared) or (engine.engine, block.name) in self.cached_blocks):
                 break
-            known += block.tokens
-        return max(metadata.tokens_in - known, 1)
+            cached_tokens += block.tokens
+        return max(metadata.tokens_in - cached_tokens, 1)
 
-    def span(self, *, service: str, tokens: int) -> timedelta:
-        return TAKE_UP + ms(tokens / self.pace.get(service, PACE_GUESS))
+    def prefill_time(self, *, service: str, tokens: int) -> timedelta:
+        """Expected duration of a prefill, without queueing."""
+        return PREFILL_SETUP_TIME + ms(tokens / self.prefill_rates.get(service, INITIAL_PREFILL_TOKENS_PER_MS))
 
     def choose(
         self, *, service: str, metadata: RequestMetadata, engines: list[EngineEntry], avoid: set[str]
     ) -> Pairing | None:
-        """The pairing whose first token is expected first, counting what it costs others."""
+        """The pairing with the lowest time to first token plus cost to other requests; None without a decode engine.
+        Engines in `avoid` are used only when no others are left."""
         usable = [engine for engine in engines if engine.engine not in avoid] or engines
-        writers = [engine for engine in usable if engine.phase != "prefill"]
-        if not writers:
-            writers = [engine for engine in engines if engine.phase != "prefill"]
-        if not writers:
+        decode_engines = [engine for engine in usable if engine.phase != "prefill"]
+        if not decode_engines:
+            decode_engines = [engine for engine in engines if engine.phase != "prefill"]
+        if not decode_engines:
             return None
-        readers = [engine for engine in usable if engine.phase == "prefill"]
-        best = self._direct(service=service, metadata=metadata, writers=writers, alone=not readers)
-        if readers and metadata.tokens_in > 1:
-            apart = self._apart(service=service, metadata=metadata, readers=readers, writers=writers)
-            if apart[0] < best[0]:
-                best = apart
+        prefill_engines = [engine for engine in usable if engine.phase == "prefill"]
+        best = self._colocated(
+            service=service, metadata=metadata, decode_engines=decode_engines, use_affinity=not prefill_engines
+        )
+        if prefill_engines and metadata.tokens_in > 1:
+            disaggregated = self._disaggregated(
+                service=service, metadata=metadata, prefill_engines=prefill_engines, decode_engines=decode_engines
+            )
+            if disaggregated[0] < best[0]:
+                best = disaggregated
         return best[1]
 
-    def _away(self, *, engine: EngineEntry, zone: str) -> timedelta:
-        return ZERO if engine.zone == zone else OTHER_ZONE
+    def _zone_latency(self, *, engine: EngineEntry, zone: str) -> timedelta:
+        return ZERO if engine.zone == zone else CROSS_ZONE_LATENCY
 
-    def _reading(
-        self, *, service: str, metadata: RequestMetadata, engines: list[EngineEntry], slower: float, homes: bool
+    def _fastest_prefill(
+        self, *, service: str, metadata: RequestMetadata, engines: list[EngineEntry], slowdown: float,
+        use_affinity: bool,
     ) -> tuple[timedelta, timedelta, EngineEntry]:  # fmt: skip
-        """The engine that would have read the prompt first: when, how long it would read, which. Shared beginnings
-        have their `homes` at engines of one phase only: else they would be read once more for the other."""
-        key = shared_key(prefix_blocks=metadata.prefix_blocks) if homes else ""
-        ranked = order(key=key, engines=engines) if key else engines
-        own = metadata.prefix_blocks[-1].tokens if metadata.prefix_blocks else metadata.tokens_in
-        rows = []
-        for place, engine in enumerate(ranked):
-            tokens = self.unread(engine=engine, metadata=metadata, home=bool(key) and place == 0)
-            span = self.span(service=service, tokens=tokens) * slower
-            ready = self.load_tracker.backlog(engine=engine.engine) + span + self._away(engine=engine, zone=self.zone)
-            # The next in the order is where the others turn as well, so it is likely to keep the parts by now.
-            again = READ_AGAIN * max(tokens - own, 0) * (0.5 if key and place == 1 else 1)
-            rows.append((ready + again, engine.engine, ready, span, engine))
-        _, _, ready, span, engine = min(rows, key=lambda row: row[:2])
+        """The time until the prompt is prefilled, the prefill's duration, and the engine that finishes first. With
+        `use_affinity`, shared prefixes are mapped to home engines; this is done for one phase only, because otherwise
+        each prefix would be prefilled once more for the other phase."""
+        key = shared_prefix_key(prefix_blocks=metadata.prefix_blocks) if use_affinity else ""
+        ranked = rendezvous_order(key=key, engines=engines) if key else engines
+        own_tokens = metadata.prefix_blocks[-1].tokens if metadata.prefix_blocks else metadata.tokens_in
+        candidates = []
+        for rank, engine in enumerate(ranked):
+            tokens = self.uncached_tokens(engine=engine, metadata=metadata, is_home=bool(key) and rank == 0)
+            span = self.prefill_time(service=service, tokens=tokens) * slowdown
+            ready = (
+                self.load_tracker.backlog(engine=engine.engine)
+                + span
+                + self._zone_latency(engine=engine, zone=self.zone)
+            )
+            # The second engine in the order is the common fallback, so it has probably cached the prefix already.
+            recompute_cost = RECOMPUTE_COST_PER_TOKEN * max(tokens - own_tokens, 0) * (0.5 if key and rank == 1 else 1)
+            candidates.append((ready + recompute_cost, engine.engine, ready, span, engine))
+        _, _, ready, span, engine = min(candidates, key=lambda row: row[:2])
         return ready, span, engine
 
-    def _direct(
-        self, *, service: str, metadata: RequestMetadata, writers: list[EngineEntry], alone: bool
+    def _colocated(
+        self, *, service: str, metadata: RequestMetadata, decode_engines: list[EngineEntry], use_affinity: bool
     ) -> tuple[timedelta, Pairing]:
-        ready, span, engine = self._reading(
-            service=service, metadata=metadata, engines=writers, slower=DIRECT_SLOWER, homes=alone
+        ready, span, engine = self._fastest_prefill(
+            service=service,
+            metadata=metadata,
+            engines=decode_engines,
+            slowdown=DECODE_ENGINE_PREFILL_SLOWDOWN,
+            use_affinity=use_affinity,
         )
-        expected = ready + FIRST_TOKEN
+        expected_ttft = ready + FIRST_TOKEN_TIME
         pairing = Pairing(
-            reader=None, reader_span=ZERO, writer=engine, writer_span=span, expected=expected,
-            wait=self.load_tracker.backlog(engine=engine.engine),
+            prefill_engine=None, prefill_time=ZERO, decode_engine=engine, local_prefill_time=span,
+            expected_ttft=expected_ttft, queue_wait=self.load_tracker.backlog(engine=engine.engine),
         )  # fmt: skip
         streams = self.load_tracker.streams(engine=engine.engine)
-        least = min(self.load_tracker.streams(engine=writer.engine) for writer in writers)
-        crowded = PER_STREAM_TOKEN * metadata.tokens_out * (streams - least)
-        return expected + span * DISTURBS * streams + crowded, pairing
+        fewest_streams = min(self.load_tracker.streams(engine=decode_engine.engine) for decode_engine in decode_engines)
+        crowding_delay = TOKEN_DELAY_PER_STREAM * metadata.tokens_out * (streams - fewest_streams)
+        return expected_ttft + span * STREAM_DELAY_RATIO * streams + crowding_delay, pairing
 
-    def _apart(
-        self, *, service: str, metadata: RequestMetadata, readers: list[EngineEntry], writers: list[EngineEntry]
+    def _disaggregated(
+        self, *, service: str, metadata: RequestMetadata, prefill_engines: list[EngineEntry],
+        decode_engines: list[EngineEntry],
     ) -> tuple[timedelta, Pairing]:  # fmt: skip
-        ready, span, reader = self._reading(service=service, metadata=metadata, engines=readers, slower=1.0, homes=True)
-        writer = self.writer(metadata=metadata, writers=writers, near=reader.zone)
-        expected = ready + HAND_OVER + FIRST_TOKEN
+        ready, span, prefill_engine = self._fastest_prefill(
+            service=service, metadata=metadata, engines=prefill_engines, slowdown=1.0, use_affinity=True
+        )
+        decode_engine = self.choose_decode_engine(
+            metadata=metadata, decode_engines=decode_engines, near_zone=prefill_engine.zone
+        )
+        expected_ttft = ready + KV_TRANSFER_OVERHEAD + FIRST_TOKEN_TIME
         pairing = Pairing(
-            reader=reader, reader_span=span, writer=writer, writer_span=ZERO, expected=expected,
-            wait=self.load_tracker.backlog(engine=reader.engine),
+            prefill_engine=prefill_engine, prefill_time=span, decode_engine=decode_engine,
+            local_prefill_time=ZERO, expected_ttft=expected_ttft,
+            queue_wait=self.load_tracker.backlog(engine=prefill_engine.engine),
         )  # fmt: skip
-        return expected + MOVED * metadata.tokens_in, pairing
+        return expected_ttft + KV_TRANSFER_COST_PER_TOKEN * metadata.tokens_in, pairing
 
-    def writer(self, *, metadata: RequestMetadata, writers: list[EngineEntry], near: str) -> EngineEntry:
-        """For a prompt that was read: few streams, little to read, near the memory and the client."""
+    def choose_decode_engine(
+        self, *, metadata: RequestMetadata, decode_engines: list[EngineEntry], near_zone: str
+    ) -> EngineEntry:
+        """The decode engine for a prefilled prompt: few streams, little prefill backlog, close to the prefill engine's
+        KV cache and to this daemon."""
 
         def cost(engine: EngineEntry) -> timedelta:
-            streams = self.load_tracker.streams(engine=engine.engine) + self.host.random.uniform(0, DRAWN_STREAMS)
-            worth = PER_STREAM_TOKEN * max(metadata.tokens_out, 1) * streams
-            worth += self.load_tracker.backlog(engine=engine.engine)
-            return worth + self._away(engine=engine, zone=near) + self._away(engine=engine, zone=self.zone) / 2
-
-        return min(writers, key=cost)
+            streams = self.load_tracker.streams(engine=engine.engine) + self.host.random.uniform(0, MAX_RANDOM_STREAMS)
+            delay = TOKEN_DELAY_PER_STREAM * max(metadata.tokens_out, 1) * streams
+            delay += self.load_tracker.backlog(engine=engine.engine)
+            return (
+                delay
+                + self._zone_latency(engine=engine, zone=near_zone)
+                + self._zone_latency(engine=engine, zone=self.zone) / 2
+            )
+
+        return min(decode_engines, key=cost)
--- a/dockmux/platform_proxy/protocol_adapter.py
+++ b/dockmux/platform_proxy/protocol_adapter.py
@@ -1,4 +1,5 @@
-"""The seam to what a deployment speaks: names, formats and calls. Nothing behind it decides anything."""
+"""The interface between the proxy and a deployment's protocol: header names, formats and paths. Implementations only
+translate and make no decisions."""
 
 import dataclasses
 from collections.abc import Iterable
@@ -12,7 +13,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PrefixBlock:
-    """A part of a prompt, by which kept memory is found again."""
+    """A block of a prompt; `name` identifies its KV cache for reuse."""
 
     name: str
     tokens: int
@@ -20,7 +21,8 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RequestMetadata:
-    """What a client's request says of itself. `prefix_blocks` are in order and the last is the request's own."""
+    """What a client's request headers state. `prefix_blocks` are in prompt order; the last one belongs to this request
+    alone, the others may be shared."""
 
     request_id: str
     deadline: timedelta | None
@@ -33,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class KvHandle:
-    """A prompt that an engine has read and holds: where, under which handle, until when (monotonic)."""
+    """The KV cache of a prefilled prompt, held by an engine under a handle; `tokens` is the prompt's length."""
 
     engine: str
     address: str
@@ -43,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class EngineEntry:
-    """A row of the list of engines."""
+    """A row of the engine list. Fields and their order are part of the digest and of messages between daemons."""
 
     engine: str
     service: str
@@ -57,8 +59,8 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ResponseMetadata:
-    """What the head of an engine's answer says. `not_run` promises that the request was not run; `engine` is the name
-    that a health answer gives."""
+    """What the status and headers of an engine's answer state. `not_run` guarantees that the request was not run;
+    `other_engine` says that another engine answered at the address; `engine` is the name that a health answer gives."""
 
     request_id: str
     sealed: bool
@@ -67,24 +69,24 @@
     engine: str
     encoded: bool
     closing: bool
-    keep: timedelta | None
+    keep_alive: timedelta | None
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class EngineReport:
-    """What an engine says of its work, some hundred ms old."""
+    """An engine's report of its work, a few hundred ms old."""
 
     phase: str
     busy: bool
     seq: int
     queued: int
     active: int
-    memory_used: int
-    memory_total: int
+    kv_used: int
+    kv_capacity: int
 
 
 class ProtocolAdapter(Protocol):
-    """Implemented once for each way of speaking. Every method only translates."""
+    """Translates between the proxy's types and one protocol; methods have no side effects."""
 
     ready_path: str
     put_path: str
@@ -93,15 +95,15 @@
     order_path: str
 
     def parse_config(self, *, text: str) -> RouteTable:
-        """A configuration as sent; BadConfig when it cannot be used."""
+        """Parses a configuration as sent by an operator; raises BadConfig if it is invalid."""
 
     def base_version(self, *, headers: Headers) -> int | None:
-        """The version on which an operator's change builds."""
+        """The version that an operator's change is based on; None if missing or malformed."""
 
     def parse_request(self, *, headers: Headers) -> RequestMetadata: ...
 
     def engine_headers(
-        self, *, headers: Headers, engine: EngineEntry, left: timedelta, urgency: int, reading: bool,
+        self, *, headers: Headers, engine: EngineEntry, left: timedelta, urgency: int, prefill: bool,
         kv_handle: KvHandle | None, last_event: str | None,
     ) -> list[tuple[str, str]]: ...  # fmt: skip
 
@@ -118,10 +120,10 @@
     def parse_list(self, *, body: bytes) -> tuple[list[EngineEntry], str | None]: ...
 
     def render_config(self, *, table: RouteTable) -> str:
-        """The same configuration as `table` reads, as an operator sends it."""
+        """The inverse of parse_config: the text that an operator would send."""
 
-    def render_list(self, *, rows: list[EngineEntry], following: str | None) -> dict[str, Any]:
-        """A page of the list, as `listed` reads it."""
+    def render_list(self, *, rows: list[EngineEntry], next_page: str | None) -> dict[str, Any]:
+        """A page of the engine list that parse_list can parse."""
 
     def parse_report(self, *, body: bytes) -> EngineReport: ...
 
--- a/dockmux/platform_proxy/request_record.py
+++ b/dockmux/platform_proxy/request_record.py
@@ -60,7 +60,9 @@
 
     def ends_at(self) -> timedelta:
         """When nobody waits for it any more."""
-        return self.until if self.begun else min(self.until, self.began + self.route.patience, self.answer_by)
+        return (
+            self.until if self.begun else min(self.until, self.began + self.route.first_event_timeout, self.answer_by)
+        )
 
     def wait_over(self) -> None:
         self.engine, self.wire = "", None
--- a/dockmux/platform_proxy/table.py
+++ b/dockmux/platform_proxy/table.py
@@ -5,13 +5,13 @@
 
 from dockmux.native_proxy.tally import Concluded, Tally
 from dockmux.platform_proxy.budget import Budget
+from dockmux.platform_proxy.config_tracker import ConfigTracker
 from dockmux.platform_proxy.directory import Directory
 from dockmux.platform_proxy.dispatcher import RETRY, Dispatcher, Ending
+from dockmux.platform_proxy.engine_health import EngineHealth
 from dockmux.platform_proxy.leaving import Leaving
 from dockmux.platform_proxy.protocol_adapter import ProtocolAdapter
 from dockmux.platform_proxy.request_record import RequestRecord, note_left
-from dockmux.platform_proxy.tracker import Tracker
-from dockmux.platform_proxy.verdicts import Verdicts
 from dockmux.runtime.event_journal import EventJournal
 from dockmux.runtime.host import Host
 from dockmux.runtime.http_transport import HttpExchange
@@ -34,15 +34,15 @@
     once `leaving`, whatever is admitted can be brought to its end in time."""
 
     def __init__(
-        self, *, host: Host, protocol: ProtocolAdapter, tracker: Tracker, directory: Directory, dispatcher: Dispatcher,
-        verdicts: Verdicts, budget: Budget,
+        self, *, host: Host, protocol: ProtocolAdapter, config_tracker: ConfigTracker, directory: Directory,
+        dispatcher: Dispatcher, engine_health: EngineHealth, budget: Budget,
     ) -> None:  # fmt: skip
         self.host = host
         self.protocol = protocol
-        self.tracker = tracker
+        self.config_tracker = config_tracker
         self.directory = directory
         self.dispatcher = dispatcher
-        self.verdicts = verdicts
+        self.engine_health = engine_health
         self.budget = budget
         self.records: dict[int, RequestRecord] = {}
         self.tally = Tally()
@@ -87,7 +87,7 @@
                 continue
             if not (record.route.repeatable or record.reading):
                 continue
-            if self.verdicts.failing(engine=record.engine) or record.engine not in self.directory.rows:
+            if self.engine_health.is_failing(engine=record.engine) or record.engine not in self.directory.rows:
                 record.why = "its engine is silent and found failing"
                 self._cancel_call(record=record)
 
@@ -98,7 +98,7 @@
         quiet = {engine for engine in waiting if now - self.dispatcher.signs.get(engine, ZERO) > QUIET}
         for engine in quiet:
             self.dispatcher.signs[engine] = now
-        return {engine for engine in quiet if not self.verdicts.failing(engine=engine)}
+        return {engine for engine in quiet if not self.engine_health.is_failing(engine=engine)}
 
     def _cancel_call(self, *, record: RequestRecord) -> None:
         """Wakes the task that waits on the connection; it finds the connection ended."""
@@ -108,7 +108,7 @@
     # Admission.
 
     def handle_http(self, exchange: HttpExchange) -> Iterable[bytes]:
-        table = self.tracker.table
+        table = self.config_tracker.table
         if table is None:
             return self._refuse(exchange=exchange, kind=OutcomeKind.NOT_READY, why="no configuration yet")
         host = exchange.header(name="Host").partition(":")[0]
@@ -122,7 +122,7 @@
         if body is None:
             return self._refuse(exchange=exchange, kind=OutcomeKind.TOO_LARGE, why="the body is over the limit")
         now = self.host.elapsed()
-        hold = min(route.hold, metadata.deadline or HOLD_DEFAULT)
+        hold = min(route.timeout, metadata.deadline or HOLD_DEFAULT)
         if self.leaving is not None and not self.leaving.admits(now=now, until=now + hold):
             return self._refuse(
                 exchange=exchange, kind=OutcomeKind.DRAINING, why="this daemon ends before the request might"
--- a/dockmux/scale_model/fleet.py
+++ b/dockmux/scale_model/fleet.py
@@ -13,7 +13,7 @@
 from dockmux.control.core import Core
 from dockmux.platform_proxy.deployment import Deployment
 from dockmux.platform_proxy.edge import Edge
-from dockmux.platform_proxy.load_tracker import TOLD_FOR
+from dockmux.platform_proxy.load_tracker import PEER_LOAD_TTL
 from dockmux.platform_proxy.operator_api import OperatorApi
 from dockmux.platform_proxy.phase_balancer import PhaseBalancer
 from dockmux.platform_proxy.protocol_adapter import EngineEntry, ProtocolAdapter
@@ -60,12 +60,13 @@
 
 def configuration(*, size: Size, version: int) -> RouteTable:
     """A route for each model, and one for each tenant that has its own."""
-    services = {f"m{n}": Service(name=f"m{n}", health_path="/health", connections=64) for n in range(size.models)}
+    services = {f"m{n}": Service(name=f"m{n}", health_path="/health", max_connections=64) for n in range(size.models)}
 
     def route(*, name: str, host: str, prefix: str, service: str) -> Route:
         return Route(
-            name=name, host=host, prefix=prefix, run=RunRule.RESUMABLE, stream=True, hold=timedelta(seconds=60),
-            aim=ms(1500), urgency=5, tries=2, shares=((service, 1),), pause=ms(33),
+            name=name, host=host, prefix=prefix, run=RunRule.RESUMABLE, stream=True,
+            timeout=timedelta(seconds=60), ttft_target=ms(1500), urgency=5, max_sends=2,
+            service_weights=((service, 1),), itl_target=ms(33),
         )  # fmt: skip
 
     routes = [route(name=f"r{n}", host="*", prefix=f"/v1/m{n}/", service=f"m{n}") for n in range(size.models)]
@@ -108,7 +109,7 @@
     def start_core(self, *, place: int) -> None:
         name, ip = f"core-{place}", f"10.0.0.{place + 1}"
         checked = settings.check(fields=self._fields(name=name, ip=ip, place=place) | {"data_folder": "data"})
-        deployment = Deployment(tolerated=(self.size.cores - 1) // 2)
+        deployment = Deployment(tolerated_failures=(self.size.cores - 1) // 2)
 
         def run(host: SimHost) -> None:
             core = Core(host=host, settings=checked)
@@ -134,8 +135,8 @@
         checked = settings.check(fields=self._fields(name=name, ip=ip, place=place))
         tolerated = (self.size.cores - 1) // 2
         deployment = Deployment(
-            front=checked.http, ready=f"{ip}:8001", list_address=PLATFORM, tolerated=tolerated, retry_ratio=0.1,
-            retry_extra=20,
+            http_address=checked.http, readyz_address=f"{ip}:8001", list_address=PLATFORM, tolerated_failures=tolerated,
+            retry_ratio=0.1, retry_extra=20,
         )  # fmt: skip
         kind = Edge if place < self.size.real else HollowEdge
 
@@ -164,7 +165,7 @@
         def handle_http(exchange: HttpExchange) -> Iterable[bytes]:
             page = int(exchange.environ.get("QUERY_STRING", "").partition("=")[2] or 0)
             following = str(page + PAGE_ROWS) if page + PAGE_ROWS < len(rows) else None
-            told = self.protocol.render_list(rows=rows[page : page + PAGE_ROWS], following=following)
+            told = self.protocol.render_list(rows=rows[page : page + PAGE_ROWS], next_page=following)
             self.list_calls += page == 0
             return exchange.reply(status=200, fields=told)
 
@@ -203,7 +204,10 @@
         )
 
     def in_force(self) -> bool:
-        return all(edge.tracker.table and edge.tracker.table.version == self.version for edge in self.edges.values())
+        return all(
+            edge.config_tracker.table and edge.config_tracker.table.version == self.version
+            for edge in self.edges.values()
+        )
 
     # Operators.
 
@@ -270,10 +274,10 @@
         else:
             edge = self.edges[name]
             parts = {
-                "peers": [edge.peers.cards, edge.peers.heard, edge.tracker.members],
+                "peers": [edge.peers.cards, edge.peers.heard, edge.config_tracker.members],
                 "engines": [edge.directory.rows],
-                "work": [edge.load_tracker.summaries, edge.load_tracker.told, edge.load_tracker.own],
-                "configurations": [edge.tracker.config, edge.tracker.table],
+                "work": [edge.load_tracker.peer_summaries, edge.load_tracker.peer_loads, edge.load_tracker.local_loads],
+                "configurations": [edge.config_tracker.config, edge.config_tracker.table],
             }
         return {part: deep_size(roots=roots) for part, roots in parts.items()}
 
@@ -282,7 +286,9 @@
         parts = []
         for edge in self.edges.values():
             now = edge.host.elapsed()
-            fresh = sum(now - summary.at < TOLD_FOR for summary in edge.load_tracker.summaries.values())
+            fresh = sum(
+                now - summary.received_at < PEER_LOAD_TTL for summary in edge.load_tracker.peer_summaries.values()
+            )
             parts.append(fresh / max(len(self.edges) - 1, 1))
         return statistics.mean(parts)
 
--- a/dockmux/scale_model/hollow.py
+++ b/dockmux/scale_model/hollow.py
@@ -21,8 +21,8 @@
 
 
 class HollowEdge(Edge):
-    """The data daemon with its data plane left out. Invariant: `work.own` is what a data plane with this share of the
-    traffic would have entered there; nothing else is made up."""
+    """The data daemon with its data plane left out. Invariant: `load_tracker.local_loads` is what a data plane
+    with this share of the traffic would have entered there; nothing else is made up."""
 
     share = Share()
 
@@ -53,9 +53,9 @@
             own.setdefault(engine, Load()).streams += 1
         for engine in self.open_prompts:
             load = own.setdefault(engine, Load())
-            load.reading += 1
-            load.to_read += ms(self.share.prompt_ms)
-        self.load_tracker.own = own
+            load.prefills += 1
+            load.prefill_backlog += ms(self.share.prompt_ms)
+        self.load_tracker.local_loads = own
 
 
 def run_load(*, host: Host, edges: list[HollowEdge]) -> None:
--- a/dockmux/scale_model/recovery.py
+++ b/dockmux/scale_model/recovery.py
@@ -15,7 +15,9 @@
 
 def wait_in_force(*, made: GaugeFleet, names: list[str]) -> None:
     began = made.world.now()
-    while not all(made.edges[n].tracker.table and made.edges[n].tracker.table.version == made.version for n in names):
+    while not all(
+        made.edges[n].config_tracker.table and made.edges[n].config_tracker.table.version == made.version for n in names
+    ):
         if made.world.now() - began > LIMIT:
             raise TimeoutError(f"version {made.version} is not in force")
         made.operator.sleep(wait=ms(10))
@@ -107,7 +109,7 @@
     in_force = made.world.now() - began
     made.operator.sleep(wait=apart)
     ready = sum(made.edges[name].is_ready() for name in minority)
-    old = sum(made.edges[name].tracker.table.version == before for name in minority)
+    old = sum(made.edges[name].config_tracker.table.version == before for name in minority)
     made.reset()
     made.world.cuts.clear()
     began = made.world.now()
--- a/tests/admission_test.py
+++ b/tests/admission_test.py
@@ -16,23 +16,28 @@
 WRITER = EngineEntry(engine="i-1", service="s", address="a:1", zone="z", phase="decode", slots=SLOTS, leaving=False)
 
 
-def record(*, tokens_out: int = 1000, hold: timedelta = 8 * SECOND, patience: timedelta = 3 * SECOND) -> RequestRecord:
+def record(
+    *, tokens_out: int = 1000, timeout: timedelta = 8 * SECOND, first_event_timeout: timedelta = 3 * SECOND
+) -> RequestRecord:
     route = Route(
-        name="r", host="h", prefix="/", run=RunRule.ONCE, stream=True, hold=hold, aim=SECOND, urgency=1, tries=1,
-        shares=(("s", 1),), pause=ZERO, patience=patience,
+        name="r", host="h", prefix="/", run=RunRule.ONCE, stream=True, timeout=timeout, ttft_target=SECOND, urgency=1,
+        max_sends=1, service_weights=(("s", 1),), itl_target=ZERO, first_event_timeout=first_event_timeout,
     )  # fmt: skip
     metadata = RequestMetadata(
         request_id="x", deadline=None, model="m", tokens_in=1, tokens_out=tokens_out, prefix_blocks=(), last_event=None
     )  # fmt: skip
     return RequestRecord(
         key=1, metadata=metadata, route=route, service="s", method="POST", target="/", headers=(), body=b"", began=NOW,
-        until=NOW + hold,
+        until=NOW + timeout,
     )  # fmt: skip
 
 
 def pairing(*, expected: timedelta, wait: timedelta) -> Pairing:
     span = expected - wait
-    return Pairing(reader=None, reader_span=ZERO, writer=WRITER, writer_span=span, expected=expected, wait=wait)
+    return Pairing(
+        prefill_engine=None, prefill_time=ZERO, decode_engine=WRITER, local_prefill_time=span, expected_ttft=expected,
+        queue_wait=wait,
+    )  # fmt: skip
 
 
 def excess(
@@ -49,7 +54,7 @@
 
 
 def test_one_whose_first_event_would_come_late_is_too_much():
-    asked, made = record(patience=3 * SECOND), learned(token_ms=0.0)
+    asked, made = record(first_event_timeout=3 * SECOND), learned(token_ms=0.0)
     for expected in (2.9 * SECOND, 3.1 * SECOND):
         # A long prompt alone is not refused for a queue that it does not meet.
         assert excess(made=made, asked=asked, expected=expected, wait=ZERO) == expected - 3 * SECOND
@@ -76,8 +81,8 @@
 
 def test_who_comes_back_with_less_time_needs_a_shorter_queue():
     made = learned(token_ms=0.1)
-    assert excess(made=made, asked=record(hold=8 * SECOND), streams=18) < ZERO
-    assert excess(made=made, asked=record(hold=2 * SECOND), streams=18) > ZERO
+    assert excess(made=made, asked=record(timeout=8 * SECOND), streams=18) < ZERO
+    assert excess(made=made, asked=record(timeout=2 * SECOND), streams=18) > ZERO
 
 
 def test_the_pace_is_learned_from_streams_and_holds_for_other_loads():
--- a/tests/answer_head_test.py
+++ b/tests/answer_head_test.py
@@ -111,13 +111,13 @@
 def test_a_failure_makes_no_failing_engine_well():
     """Guards against work that goes back to an engine because it answered with one more failure."""
     with fleet_of_three_tries() as made:
-        verdicts = made.daemons["edge-0"].verdicts
+        engine_health = made.daemons["edge-0"].engine_health
         seen = send(made=made, sequence=["failure"])
         (run,) = made.record.runs(request_id=seen.request.request_id)
         for engine in made.engines.values():
             engine.well = False
-            verdicts.note_failure(engine=engine.engine, why="test")
+            engine_health.note_failure(engine=engine.engine, why="test")
         again = send(made=made, sequence=["failure"])
         assert again.status == 500
-        assert all(verdicts.failing(engine=engine) for engine in made.engines)
+        assert all(engine_health.is_failing(engine=engine) for engine in made.engines)
         assert run.status == 500
--- a/tests/balance_test.py
+++ b/tests/balance_test.py
@@ -2,53 +2,59 @@
 
 import pytest
 
-from dockmux.platform_proxy.phase_balancer import Pressure, choose_phase
+from dockmux.platform_proxy.phase_balancer import ServiceLoad, choose_phase
 from tests.standins.fleet import fleet
 
 
-def chosen(*, readers: int, writers: int, to_read_ms: float, streams: float) -> str | None:
-    pressure = Pressure(to_read_ms=to_read_ms, streams=streams)
-    return choose_phase(readers=readers, writers=writers, slots=64, pressure=pressure)
+def chosen(*, prefill_count: int, decode_count: int, prefill_backlog_ms: float, streams: float) -> str | None:
+    load = ServiceLoad(prefill_backlog_ms=prefill_backlog_ms, streams=streams)
+    return choose_phase(prefill_count=prefill_count, decode_count=decode_count, slots=64, load=load)
 
 
 def test_a_pressed_phase_gets_an_engine_that_the_other_can_spare():
-    assert chosen(readers=3, writers=6, to_read_ms=400, streams=60) == "prefill"
-    assert chosen(readers=3, writers=6, to_read_ms=200, streams=60) is None
-    assert chosen(readers=3, writers=3, to_read_ms=1500, streams=90) is None
-    assert chosen(readers=6, writers=3, to_read_ms=100, streams=100) == "decode"
+    assert chosen(prefill_count=3, decode_count=6, prefill_backlog_ms=400, streams=60) == "prefill"
+    assert chosen(prefill_count=3, decode_count=6, prefill_backlog_ms=200, streams=60) is None
+    assert chosen(prefill_count=3, decode_count=3, prefill_backlog_ms=1500, streams=90) is None
+    assert chosen(prefill_count=6, decode_count=3, prefill_backlog_ms=100, streams=100) == "decode"
 
 
 def test_writers_that_were_lost_are_replaced_whatever_lies_to_be_read():
     """A day on which one of two writers was taken away under load never got it back: readers were pressed as well."""
-    assert chosen(readers=7, writers=1, to_read_ms=5000, streams=90) == "decode"
-    assert chosen(readers=7, writers=2, to_read_ms=2000, streams=120) == "decode"
+    assert chosen(prefill_count=7, decode_count=1, prefill_backlog_ms=5000, streams=90) == "decode"
+    assert chosen(prefill_count=7, decode_count=2, prefill_backlog_ms=2000, streams=120) == "decode"
 
 
 def test_a_phase_keeps_its_last_two_engines():
-    assert chosen(readers=2, writers=2, to_read_ms=9000, streams=1) is None
-    assert chosen(readers=2, writers=3, to_read_ms=0, streams=190) is None
-    assert chosen(readers=1, writers=3, to_read_ms=0, streams=10) == "prefill"
+    assert chosen(prefill_count=2, decode_count=2, prefill_backlog_ms=9000, streams=1) is None
+    assert chosen(prefill_count=2, decode_count=3, prefill_backlog_ms=0, streams=190) is None
+    assert chosen(prefill_count=1, decode_count=3, prefill_backlog_ms=0, streams=10) == "prefill"
 
 
 def test_no_move_calls_for_its_opposite():
-    for readers in range(2, 9):
-        for writers in range(2, 9):
-            for to_read_ms in range(0, 3000, 50):
+    for prefill_count in range(2, 9):
+        for decode_count in range(2, 9):
+            for prefill_backlog_ms in range(0, 3000, 50):
                 for streams in range(0, 300, 10):
-                    first = chosen(readers=readers, writers=writers, to_read_ms=to_read_ms, streams=streams)
+                    first = chosen(
+                        prefill_count=prefill_count,
+                        decode_count=decode_count,
+                        prefill_backlog_ms=prefill_backlog_ms,
+                        streams=streams,
+                    )
                     if first is None:
                         continue
                     step = 1 if first == "prefill" else -1
                     again = chosen(
-                        readers=readers + step, writers=writers - step, to_read_ms=to_read_ms, streams=streams
+                        prefill_count=prefill_count + step, decode_count=decode_count - step,
+                        prefill_backlog_ms=prefill_backlog_ms, streams=streams
                     )  # fmt: skip
                     assert again in (first, None)
 
 
-@pytest.mark.parametrize("readers", [1, 2, 3, 5])
-def test_without_a_writer_a_reader_becomes_one_however_few_there_are(readers: int):
-    assert chosen(readers=readers, writers=0, to_read_ms=0, streams=0) == "decode"
-    assert chosen(readers=readers, writers=0, to_read_ms=5000, streams=0) == "decode"
+@pytest.mark.parametrize("prefill_count", [1, 2, 3, 5])
+def test_without_a_writer_a_reader_becomes_one_however_few_there_are(prefill_count: int):
+    assert chosen(prefill_count=prefill_count, decode_count=0, prefill_backlog_ms=0, streams=0) == "decode"
+    assert chosen(prefill_count=prefill_count, decode_count=0, prefill_backlog_ms=5000, streams=0) == "decode"
 
 
 def test_two_reading_engines_that_are_left_serve_again():
--- a/tests/budget_memory_test.py
+++ b/tests/budget_memory_test.py
@@ -9,7 +9,7 @@
 
 def test_the_budget_forgets_old_requests():
     """Guards against memory that grows all day."""
-    budget = Budget(deployment=Deployment(retry_ratio=0.2, retry_extra=50), born=timedelta())
+    budget = Budget(deployment=Deployment(retry_ratio=0.2, retry_extra=50), started_at=timedelta())
     for number in range(20_000):
         budget.note_request(service="desk", now=ms(10 * number))
-    assert len(budget.asked["desk"]) <= 1100
+    assert len(budget.requests["desk"]) <= 1100
--- a/tests/budget_test.py
+++ b/tests/budget_test.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from dockmux.platform_proxy.budget import ALONE_PART, Budget
+from dockmux.platform_proxy.budget import LOCAL_SHARE, Budget
 from dockmux.platform_proxy.deployment import Deployment
 from dockmux.runtime.time_units import ZERO, ms
 from tests.standins.fleet import RATIO, SECOND, Fleet, fleet
@@ -19,7 +19,7 @@
 
 def _budget(*, extra: int = 60, ratio: float = 0.0) -> Budget:
     return Budget(
-        deployment=Deployment(retry_ratio=ratio, retry_window=WINDOW, retry_extra=extra), born=-timedelta(hours=1)
+        deployment=Deployment(retry_ratio=ratio, retry_window=WINDOW, retry_extra=extra), started_at=-timedelta(hours=1)
     )
 
 
@@ -35,9 +35,9 @@
 
 
 def test_without_the_shared_time_only_the_own_part_is_used():
-    assert _drain(budget=_budget(), daemons=3, synchronized=False) == int(60 * ALONE_PART / 3)
-    assert _drain(budget=_budget(), daemons=3, bound=ms(501)) == int(60 * ALONE_PART / 3)
-    assert _drain(budget=_budget(), daemons=3) > int(60 * ALONE_PART / 3)
+    assert _drain(budget=_budget(), daemons=3, synchronized=False) == int(60 * LOCAL_SHARE / 3)
+    assert _drain(budget=_budget(), daemons=3, bound=ms(501)) == int(60 * LOCAL_SHARE / 3)
+    assert _drain(budget=_budget(), daemons=3) > int(60 * LOCAL_SHARE / 3)
     assert _drain(budget=_budget(extra=0), daemons=3) == 0
 
 
@@ -71,25 +71,25 @@
 
 
 def test_draws_of_others_leave_less():
-    window = _budget().window(time=BEGIN)
-    told = {"s": {str(window): 30}}
+    slice_index = _budget().slice_index(time=BEGIN)
+    draws = {"s": {str(slice_index): 30}}
     budget = _budget()
-    budget.hear(daemon="b", told=told)
-    assert _drain(budget=budget, daemons=3) == int(60 * ALONE_PART / 3)
+    budget.update_peer(daemon="b", draws=draws)
+    assert _drain(budget=budget, daemons=3) == int(60 * LOCAL_SHARE / 3)
     # Those of a window that no span of ten seconds shares with the present do not count any more.
     budget = _budget()
-    budget.hear(daemon="b", told={"s": {str(window - 30): 30}})
+    budget.update_peer(daemon="b", draws={"s": {str(slice_index - 30): 30}})
     assert _drain(budget=budget, daemons=3) == _drain(budget=_budget(), daemons=3)
     budget = _budget()
-    budget.hear(daemon="b", told={"other": {str(window): 30}})
+    budget.update_peer(daemon="b", draws={"other": {str(slice_index): 30}})
     assert _drain(budget=budget, daemons=3) == _drain(budget=_budget(), daemons=3)
 
 
 def test_what_is_told_is_what_the_others_hear():
     one, two = _budget(), _budget()
     _drain(budget=one, daemons=2)
-    two.hear(daemon="one", told=one.told())
-    assert two.spent["one"]["s"] == one.drawn["s"] and sum(one.drawn["s"].values()) > 0
+    two.update_peer(daemon="one", draws=one.summary())
+    assert two.peer_draws["one"]["s"] == one.pool_draws["s"] and sum(one.pool_draws["s"].values()) > 0
 
 
 def test_a_requests_share_comes_from_own_requests_only():
@@ -132,10 +132,10 @@
                     taken.append(at)
             for other in budgets:
                 if other != name and chance.random() < 0.3:
-                    under_way.append((at + ms(chance.uniform(0, 1000)), other, name, budget.told()))
+                    under_way.append((at + ms(chance.uniform(0, 1000)), other, name, budget.summary()))
         for row in [row for row in under_way if row[0] <= at]:
             under_way.remove(row)
-            budgets[row[1]].hear(daemon=row[2], told=row[3])
+            budgets[row[1]].update_peer(daemon=row[2], draws=row[3])
     assert _over(extras=taken, asked=asked, extra=60) == []
     assert len(taken) > 60
 
@@ -147,7 +147,7 @@
     for one in budgets:
         for place, other in enumerate(budgets):
             if other is not one:
-                one.hear(daemon=str(place), told=other.told())
+                one.update_peer(daemon=str(place), draws=other.summary())
     for budget in budgets[1:]:
         # Its silence was noticed.
         budget.forget(live={"1", "2"})
--- a/tests/calm_test.py
+++ b/tests/calm_test.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from dockmux.platform_proxy.tracker import Tracker
+from dockmux.platform_proxy.config_tracker import ConfigTracker
 from tests.standins.fleet import SECOND, Fleet, fleet
 from tests.standins.operator import configuration, packed, route
 
@@ -67,7 +67,7 @@
 
 def test_without_news_the_look_finds_the_older_configuration(monkeypatch):
     with fleet(seed=3) as made:
-        monkeypatch.setattr(Tracker, "_learn", lambda self, *, config: setattr(self, "config", config))
+        monkeypatch.setattr(ConfigTracker, "_adopt", lambda self, *, config: setattr(self, "config", config))
         assert _put_and_look(made=made) == [[200] * 3, [404] * 3]
 
 
--- a/tests/departed_clients_test.py
+++ b/tests/departed_clients_test.py
@@ -126,7 +126,9 @@
         slow_down(made=made)
         leave_in_numbers(made=made, paths=PATHS, count=40, after=ms(300))
         made.sleep(seconds=2)
-        failing = [name for name, edge in made.daemons.items() if hasattr(edge, "verdicts") and edge.verdicts.rows]
+        failing = [
+            name for name, edge in made.daemons.items() if hasattr(edge, "engine_health") and edge.engine_health.rows
+        ]
         assert failing == []
         made.sound()
 
--- a/tests/directory_test.py
+++ b/tests/directory_test.py
@@ -40,16 +40,16 @@
     """Each telling is heard a little late; were its time counted from the hearing, two daemons would keep one copy
     young for ever, and nobody would ask for a newer one."""
     here, there = pair()
-    here.take(rows={"e": row(name="e")}, asked_at=here.host.elapsed(), origin="a:1")
-    there.take(rows={"e": row(name="e")}, asked_at=there.host.elapsed(), origin="a:1")
+    here.replace(rows={"e": row(name="e")}, requested_at=here.host.elapsed(), origin="a:1")
+    there.replace(rows={"e": row(name="e")}, requested_at=there.host.elapsed(), origin="a:1")
     for _ in range(40):
         for teller, hearer in ((here, there), (there, here)):
             told_age = teller.age
             for directory in (here, there):
                 directory.host.time += ms(50)
             # Heard 50 ms after it was told.
-            hearer.hear(
-                digest=teller.digest, origin=teller.origin, asked_at=hearer.host.elapsed() - told_age, delta=None
+            hearer.merge_peer(
+                digest=teller.digest, origin=teller.origin, requested_at=hearer.host.elapsed() - told_age, delta=None
             )  # fmt: skip
     assert here.age >= timedelta(seconds=3.9) and there.age >= timedelta(seconds=3.9)
-    assert here.due(place=0) and there.due(place=1)
+    assert here.due(rank=0) and there.due(rank=1)
--- a/tests/failing_test.py
+++ b/tests/failing_test.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from dockmux.platform_proxy.verdicts import Verdicts
+from dockmux.platform_proxy.engine_health import EngineHealth
 from dockmux.runtime.time_units import ms
 from tests.standins.fleet import SECOND, Fleet, fleet
 
@@ -109,8 +109,8 @@
         assert len([row for row in rows if row.at > since + 2 * SECOND]) <= 1
 
 
-def test_where_verdicts_are_not_heeded_work_still_goes_to_a_dark_engine(monkeypatch):
-    monkeypatch.setattr(Verdicts, "failing", lambda self, *, engine: False)
+def test_when_health_is_ignored_requests_still_go_to_an_unresponsive_engine(monkeypatch):
+    monkeypatch.setattr(EngineHealth, "is_failing", lambda self, *, engine: False)
     with fleet(seed=31) as made:
         _dark(made=made, engine="i-p0", how="machine", dark=True)
         tries = made.load(paths=PATHS, per_second=9, seconds=5)
--- a/tests/gauge_test.py
+++ b/tests/gauge_test.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from dockmux.platform_proxy.edge import PASS, TELL, TELL_TO, Edge
+from dockmux.platform_proxy.edge import MAINTENANCE_INTERVAL, REPORT_FANOUT, REPORT_INTERVAL, Edge
 from dockmux.runtime.time_units import ms
 from dockmux.scale_model.fleet import Size, figures, fleet, measure
 from dockmux.scale_model.hollow import HollowEdge, Share
@@ -19,7 +19,7 @@
 
 class Traffic:
     """A share of the traffic, entered into a real daemon by its data plane's own doors, `LoadTracker.streaming` and
-    `LoadTracker.reading`. Invariant: `streams` and `prompts` hold one entered context for each that is open."""
+    `LoadTracker.prefilling`. Invariant: `streams` and `prompts` hold one entered context for each that is open."""
 
     def __init__(self, *, edge: Edge, share: Share) -> None:
         self.edge = edge
@@ -39,7 +39,7 @@
         readers = [row.engine for row in self.edge.directory.rows.values() if row.phase == "prefill"]
         opened = contextlib.ExitStack()
         engine = self.drawn.choice(readers)
-        opened.enter_context(self.edge.load_tracker.reading(engine=engine, span=ms(self.share.prompt_ms)))
+        opened.enter_context(self.edge.load_tracker.prefilling(engine=engine, span=ms(self.share.prompt_ms)))
         return opened
 
     def carry(self, *, span_s: float) -> None:
@@ -88,8 +88,11 @@
             for figure in left[kind]:
                 assert near(found=right[kind][figure], wanted=left[kind][figure], part=0.1), (kind, figure, told)
         # The real schedule: so many are told so often, up to a pass later, and news are asked for with a held ask.
-        others = min(TELL_TO, SIZE.daemons - 1) + 1  # the head besides
-        slowest, fastest = others / (TELL + PASS).total_seconds(), others / TELL.total_seconds()
+        others = min(REPORT_FANOUT, SIZE.daemons - 1) + 1  # the head besides
+        slowest, fastest = (
+            others / (REPORT_INTERVAL + MAINTENANCE_INTERVAL).total_seconds(),
+            others / REPORT_INTERVAL.total_seconds(),
+        )
         assert slowest <= right["WorkSummary"]["out_per_s"] <= fastest
         assert 0.9 <= right["NewsAsk"]["out_per_s"] <= 1.2
         # What they tell of their work adds up to the same: times still to be read, streams.
@@ -103,9 +106,9 @@
         for edge in made.edges.values():
             assert set(vars(edge)) - {"drawn", "open_streams", "open_prompts", "owed"} == set(vars(real[0]))
             assert edge.directory.digest == real[0].directory.digest
-            assert edge.tracker.table.version == made.version
+            assert edge.config_tracker.table.version == made.version
             assert {*edge.peers.cards, edge.settings.address} == {*real[0].peers.cards, real[0].settings.address}
-            assert set(edge.load_tracker.summaries) == set(made.edges) - {edge.settings.name}
+            assert set(edge.load_tracker.peer_summaries) == set(made.edges) - {edge.settings.name}
 
 
 def test_the_same_seed_gives_the_same_figures_but_for_processor_time():
--- a/tests/leaving_test.py
+++ b/tests/leaving_test.py
@@ -43,7 +43,7 @@
 def test_where_nobody_asks_the_list_the_leaving_engine_is_still_used(monkeypatch):
     due = Directory.due
     monkeypatch.setattr(
-        Directory, "due", lambda self, *, place: self.age > timedelta(seconds=30) and due(self, place=place)
+        Directory, "due", lambda self, *, rank: self.age > timedelta(seconds=30) and due(self, rank=rank)
     )
     with fleet(seed=21) as made:
         assert _late(made=made, kill=())
--- a/tests/list_copies_test.py
+++ b/tests/list_copies_test.py
@@ -27,18 +27,18 @@
 
 
 def _hear(*, directory: Directory, digest: str, age_ms: int, delta: dict[str, Any] | None, origin: str = "b:1") -> bool:
-    asked_at = directory.host.elapsed() - ms(age_ms)
-    return directory.hear(digest=digest, origin=origin, asked_at=asked_at, delta=delta)
+    requested_at = directory.host.elapsed() - ms(age_ms)
+    return directory.merge_peer(digest=digest, origin=origin, requested_at=requested_at, delta=delta)
 
 
 def test_daemons_ask_in_their_order_and_all_in_time():
     directory = _directory()
-    directory.take(rows=_rows("1"), asked_at=directory.host.elapsed(), origin="a:0")
+    directory.replace(rows=_rows("1"), requested_at=directory.host.elapsed(), origin="a:0")
     first_due = {}
     for _ in range(300):
         directory.host.pass_ms(10)
         for place in range(9):
-            if directory.due(place=place):
+            if directory.due(rank=place):
                 first_due.setdefault(place, directory.age)
     assert first_due[0] == timedelta(seconds=1)
     assert first_due[0] < first_due[1] < first_due[2]
@@ -48,28 +48,28 @@
 
 def test_one_that_knows_nothing_asks_at_once_and_one_that_failed_waits():
     directory = _directory()
-    assert directory.due(place=8)
+    assert directory.due(rank=8)
     directory.backoff_until = directory.host.elapsed() + ms(300)
-    assert not directory.due(place=0)
+    assert not directory.due(rank=0)
     directory.host.pass_ms(300)
-    assert directory.due(place=0)
+    assert directory.due(rank=0)
 
 
 def test_an_older_copy_never_replaces_a_newer_one():
     directory = _directory()
     now = directory.host.elapsed()
-    directory.take(rows=_rows("1", "2", leaving="2"), asked_at=now, origin="a:1")
-    directory.take(rows=_rows("1", "2"), asked_at=now - ms(1), origin="a:2")
-    directory.take(rows=_rows("1", "2"), asked_at=now, origin="a:3")
+    directory.replace(rows=_rows("1", "2", leaving="2"), requested_at=now, origin="a:1")
+    directory.replace(rows=_rows("1", "2"), requested_at=now - ms(1), origin="a:2")
+    directory.replace(rows=_rows("1", "2"), requested_at=now, origin="a:3")
     assert directory.rows["2"].leaving
     assert not _hear(directory=directory, digest="another", age_ms=5, delta=None)
-    directory.take(rows=_rows("1"), asked_at=now + ms(1), origin="a:4")
+    directory.replace(rows=_rows("1"), requested_at=now + ms(1), origin="a:4")
     assert set(directory.rows) == {"1"}
 
 
 def test_the_same_copy_heard_of_later_is_as_fresh_as_its_asking():
     directory = _directory()
-    directory.take(rows=_rows("1"), asked_at=directory.host.elapsed(), origin="a:5")
+    directory.replace(rows=_rows("1"), requested_at=directory.host.elapsed(), origin="a:5")
     directory.host.pass_ms(900)
     assert not _hear(directory=directory, digest=directory.digest, age_ms=100, delta=None)
     assert directory.age == ms(100)
@@ -79,7 +79,7 @@
 
 def test_the_same_asking_told_again_is_no_newer():
     directory = _directory()
-    directory.take(rows=_rows("1"), asked_at=directory.host.elapsed(), origin="b:7")
+    directory.replace(rows=_rows("1"), requested_at=directory.host.elapsed(), origin="b:7")
     directory.host.pass_ms(900)
     assert not _hear(directory=directory, digest=directory.digest, age_ms=880, delta=None, origin="b:7")
     assert directory.age == ms(900)
@@ -90,9 +90,9 @@
 def test_a_change_is_taken_from_a_delta_and_otherwise_asked_for():
     here, there = _directory(), _directory()
     for directory in (here, there):
-        directory.take(rows=_rows("1", "2"), asked_at=directory.host.elapsed(), origin="a:6")
+        directory.replace(rows=_rows("1", "2"), requested_at=directory.host.elapsed(), origin="a:6")
         directory.host.pass_ms(1000)
-    there.take(rows=_rows("2", "3", leaving="2"), asked_at=there.host.elapsed(), origin="a:7")
+    there.replace(rows=_rows("2", "3", leaving="2"), requested_at=there.host.elapsed(), origin="a:7")
     assert there.delta["from"] == here.digest and there.delta["gone"] == ["1"]
     # Without the delta, and with one from another copy, the whole must be asked for.
     assert _hear(directory=here, digest=there.digest, age_ms=10, delta=None)
--- a/tests/patience_test.py
+++ b/tests/patience_test.py
@@ -11,8 +11,9 @@
 
 def route(**fields: object) -> Route:
     base = {
-        "name": "r", "host": "h", "prefix": "/", "run": RunRule.ONCE, "stream": True, "hold": timedelta(seconds=8),
-        "aim": timedelta(milliseconds=800), "urgency": 1, "tries": 1, "shares": (("s", 1),), "pause": timedelta(),
+        "name": "r", "host": "h", "prefix": "/", "run": RunRule.ONCE, "stream": True, "timeout": timedelta(seconds=8),
+        "ttft_target": timedelta(milliseconds=800), "urgency": 1,
+        "max_sends": 1, "service_weights": (("s", 1),), "itl_target": timedelta(),
     }  # fmt: skip
     return Route(**base | fields)
 
@@ -24,12 +25,12 @@
     began = timedelta(seconds=100)
     return RequestRecord(
         key=1, metadata=metadata, route=of, service="s", method="POST", target="/", headers=(), body=b"", began=began,
-        until=began + of.hold,
+        until=began + of.timeout,
     )  # fmt: skip
 
 
 def test_before_a_first_event_the_clients_patience_ends_it_and_after_it_the_deadline():
-    waiting = record(of=route(patience=timedelta(seconds=3)))
+    waiting = record(of=route(first_event_timeout=timedelta(seconds=3)))
     assert waiting.ends_at() == timedelta(seconds=103)
     waiting.begun = True
     assert waiting.ends_at() == timedelta(seconds=108)
@@ -42,7 +43,7 @@
         "tries": 2, "resume": True, "itl_target_ms": 300,
     }  # fmt: skip
     read = platform_adapter.PlatformAdapter()._route
-    assert read(row=row).patience == timedelta(milliseconds=3200)
-    assert read(row=row | {"target_ms": 100}).patience == timedelta(milliseconds=2400)
-    assert read(row=row | {"target_ms": 100, "itl_target_ms": 10}).patience == timedelta(seconds=2)
-    assert read(row=row | {"type": "mut"}).patience == timedelta(seconds=8)
+    assert read(row=row).first_event_timeout == timedelta(milliseconds=3200)
+    assert read(row=row | {"target_ms": 100}).first_event_timeout == timedelta(milliseconds=2400)
+    assert read(row=row | {"target_ms": 100, "itl_target_ms": 10}).first_event_timeout == timedelta(seconds=2)
+    assert read(row=row | {"type": "mut"}).first_event_timeout == timedelta(seconds=8)
--- a/tests/routes_test.py
+++ b/tests/routes_test.py
@@ -109,7 +109,7 @@
     del fields["caps"]
     fields["rtab"][0]["fresh"] = 1
     table = platform_adapter.PlatformAdapter().parse_config(text=json.dumps(fields))
-    assert table.limits.header_bytes == 16384 and table.limits.idle == timedelta(seconds=15)
+    assert table.limits.header_bytes == 16384 and table.limits.idle_timeout == timedelta(seconds=15)
     assert table.version == 1 and set(table.services) == {"desk", "other"}
 
 
@@ -159,7 +159,7 @@
         engine=_entry()[0][0],
         left=timedelta(milliseconds=1234),
         urgency=12,
-        reading=False,
+        prefill=False,
         kv_handle=None,
         last_event="7",
     )
@@ -177,7 +177,7 @@
 def test_headers_that_connection_names_concern_one_connection_only():
     sent = [("Host", "h"), ("Connection", "close, X-Hop"), ("X-Hop", "1"), ("X-Request-Id", "a")]
     rows = platform_adapter.PlatformAdapter().engine_headers(
-        headers=sent, engine=_entry()[0][0], left=timedelta(seconds=1), urgency=1, reading=False, kv_handle=None,
+        headers=sent, engine=_entry()[0][0], left=timedelta(seconds=1), urgency=1, prefill=False, kv_handle=None,
         last_event=None,
     )  # fmt: skip
     assert "X-Hop" not in dict(rows)
--- a/tests/settings_file_test.py
+++ b/tests/settings_file_test.py
@@ -39,7 +39,7 @@
     deployment = settings_file.deployment(lines=lines(name="edge-a", zone=0, machine="edge"))
     assert deployment.retry_ratio == 0.2 and deployment.retry_window == timedelta(seconds=10)
     assert deployment.drain == timedelta(seconds=3) and deployment.list_address == "10.200.0.9:8169"
-    assert (deployment.front, deployment.ready) == ("10.1.0.2:8161", "10.1.0.2:8167")
+    assert (deployment.http_address, deployment.readyz_address) == ("10.1.0.2:8161", "10.1.0.2:8167")
 
 
 @pytest.mark.parametrize(
--- a/tests/silence_test.py
+++ b/tests/silence_test.py
@@ -11,6 +11,6 @@
         tries = []
         made.outside.spawn(task=lambda: tries.append(made.send(path="/check/c", tokens_out=0, tokens_in=100)))
         made.sleep(seconds=0.5)
-        made.daemons["edge-0"].verdicts.note_failure(engine="i-d0", why="test")
+        made.daemons["edge-0"].engine_health.note_failure(engine="i-d0", why="test")
         made.sleep(seconds=3)
         assert tries and tries[0].right, [(seen.status, seen.error) for seen in tries]
