--- a/tests/broken_pool_test.py
+++ b/tests/broken_pool_test.py
@@ -1,4 +1,4 @@
-"""A real core process whose pool for file calls breaks, as a reset of the pool's own connection breaks it."""
+"""A real core process whose thread pool for file calls breaks, as after a reset of the pool's own connection."""
 
 import contextlib
 import json
@@ -18,7 +18,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 START_LIMIT_S = 20
-# The bound for a file call in this process, which has no need to wait for a stalled disk.
+# Time limit of a file call in this process; it is short because no disk stalls here.
 FILE_CALL_LIMIT_S = 2
 PROGRAM = """
 import sys
@@ -63,7 +63,7 @@
 
 
 @contextlib.contextmanager
-def lone_core(*, folder: Path, breaks: bool):
+def single_core(*, folder: Path, breaks: bool):
     ip = "127.0.0.1"
     peer, control = free_ports(ip=ip, count=2)
     rows = {
@@ -88,9 +88,9 @@
 
 
 @pytest.mark.parametrize("breaks", (True, False))
-def test_a_core_whose_file_calls_never_return_ends_itself(tmp_path, breaks):
-    """Guards against a core process that lives on and can store nothing (CONFIG, Acks)."""
-    with lone_core(folder=tmp_path, breaks=breaks) as (process, address):
+def test_a_core_whose_file_calls_never_return_exits(tmp_path, breaks):
+    """Guards against a core process that keeps running but cannot store anything (CONFIG, Acks)."""
+    with single_core(folder=tmp_path, breaks=breaks) as (process, address):
         end, version = time.monotonic() + START_LIMIT_S, 1
         while time.monotonic() < end and process.poll() is None and version < 12:
             if put(address=address, version=version) == 200:
--- a/tests/budget_memory_test.py
+++ b/tests/budget_memory_test.py
@@ -1,4 +1,4 @@
-"""What the budget keeps of requests."""
+"""Memory use of the budget."""
 
 from datetime import timedelta
 
@@ -8,7 +8,7 @@
 
 
 def test_the_budget_forgets_old_requests():
-    """Guards against memory that grows all day."""
+    """Guards against memory use that grows with the daemon's uptime."""
     budget = Budget(deployment=Deployment(retry_ratio=0.2, retry_extra=50), started_at=timedelta())
     for number in range(20_000):
         budget.note_request(service="desk", now=ms(10 * number))
--- a/tests/budget_test.py
+++ b/tests/budget_test.py
@@ -1,4 +1,4 @@
-"""The fleet's one allowance for extra sends: the unit, and the fleet seen from the engines."""
+"""The fleet-wide budget for extra sends: the Budget class, and a whole fleet as observed at the engines."""
 
 import random
 from datetime import UTC, datetime, timedelta
@@ -12,9 +12,9 @@
 
 WINDOW = timedelta(seconds=10)
 BOUND = ms(20)
-# Few, so that a short press shows whether the budget holds.
+# Small, so that a short overload shows whether the budget is kept.
 EXTRA = 15
-BEGIN = datetime(2026, 3, 1, 6, 0, 3, tzinfo=UTC)
+START_TIME = datetime(2026, 3, 1, 6, 0, 3, tzinfo=UTC)
 
 
 def _budget(*, extra: int = 60, ratio: float = 0.0) -> Budget:
@@ -23,153 +23,156 @@
     )
 
 
-def _drain(
+def _take_all(
     *, budget: Budget, daemons: int, at: timedelta = ZERO, synchronized: bool = True, bound: timedelta = BOUND
 ) -> int:
-    """Takes until nothing is left at this moment; how many that were."""
-    time = BEGIN + at if synchronized else None
+    """Takes extra sends until none is left at this time; returns their number."""
+    time = START_TIME + at if synchronized else None
     count = 0
     while count < 1000 and budget.take(service="s", daemons=daemons, now=at, time=time, bound=bound):
         count += 1
     return count
 
 
-def test_without_the_shared_time_only_the_own_part_is_used():
-    assert _drain(budget=_budget(), daemons=3, synchronized=False) == int(60 * LOCAL_SHARE / 3)
-    assert _drain(budget=_budget(), daemons=3, bound=ms(501)) == int(60 * LOCAL_SHARE / 3)
-    assert _drain(budget=_budget(), daemons=3) > int(60 * LOCAL_SHARE / 3)
-    assert _drain(budget=_budget(extra=0), daemons=3) == 0
+def test_without_the_shared_clock_only_the_local_share_is_used():
+    assert _take_all(budget=_budget(), daemons=3, synchronized=False) == int(60 * LOCAL_SHARE / 3)
+    assert _take_all(budget=_budget(), daemons=3, bound=ms(501)) == int(60 * LOCAL_SHARE / 3)
+    assert _take_all(budget=_budget(), daemons=3) > int(60 * LOCAL_SHARE / 3)
+    assert _take_all(budget=_budget(extra=0), daemons=3) == 0
 
 
-def test_one_second_on_the_same_window_of_ten_holds_no_more_than_the_allowance():
+def test_one_window_of_ten_seconds_holds_no_more_than_the_allowance():
     budget = _budget()
-    count = sum(_drain(budget=budget, daemons=1, at=ms(100) * place) for place in range(95))
+    count = sum(_take_all(budget=budget, daemons=1, at=ms(100) * step) for step in range(95))
     assert 30 <= count <= 60
 
 
-def test_after_a_pause_of_any_length_the_allowance_is_back_and_no_more():
+def test_after_a_pause_the_allowance_is_available_again_and_no_more():
     budget = _budget()
-    for place in range(95):
-        _drain(budget=budget, daemons=1, at=ms(100) * place)
-    count = sum(_drain(budget=budget, daemons=1, at=timedelta(seconds=60) + ms(100) * place) for place in range(95))
+    for step in range(95):
+        _take_all(budget=budget, daemons=1, at=ms(100) * step)
+    count = sum(_take_all(budget=budget, daemons=1, at=timedelta(seconds=60) + ms(100) * step) for step in range(95))
     assert 30 <= count <= 60, count
 
 
-def test_what_was_drawn_ten_seconds_ago_is_no_credit_for_the_own_part():
-    """Each span of ten seconds is counted, under an unbroken press."""
+def test_expired_draws_do_not_raise_the_local_limit():
+    """Checks each span of ten seconds under continuous demand."""
     budget = _budget()
     taken = [
-        ms(100) * place for place in range(400) for _ in range(_drain(budget=budget, daemons=1, at=ms(100) * place))
+        ms(100) * step for step in range(400) for _ in range(_take_all(budget=budget, daemons=1, at=ms(100) * step))
     ]
-    assert _over(extras=taken, asked=[], extra=60)[:1] == []
+    assert _violations(extras=taken, asked=[], extra=60)[:1] == []
 
 
 def test_each_service_has_its_own_allowance():
     budget = _budget()
-    _drain(budget=budget, daemons=1)
+    _take_all(budget=budget, daemons=1)
     assert budget.take(service="other", daemons=1, now=ZERO, time=None, bound=ZERO)
 
 
-def test_draws_of_others_leave_less():
-    slice_index = _budget().slice_index(time=BEGIN)
+def test_draws_of_peers_reduce_what_is_left():
+    slice_index = _budget().slice_index(time=START_TIME)
     draws = {"s": {str(slice_index): 30}}
     budget = _budget()
     budget.update_peer(daemon="b", draws=draws)
-    assert _drain(budget=budget, daemons=3) == int(60 * LOCAL_SHARE / 3)
-    # Those of a window that no span of ten seconds shares with the present do not count any more.
+    assert _take_all(budget=budget, daemons=3) == int(60 * LOCAL_SHARE / 3)
+    # Draws in a slice that no span of ten seconds ending now can touch do not count any more.
     budget = _budget()
     budget.update_peer(daemon="b", draws={"s": {str(slice_index - 30): 30}})
-    assert _drain(budget=budget, daemons=3) == _drain(budget=_budget(), daemons=3)
+    assert _take_all(budget=budget, daemons=3) == _take_all(budget=_budget(), daemons=3)
     budget = _budget()
     budget.update_peer(daemon="b", draws={"other": {str(slice_index): 30}})
-    assert _drain(budget=budget, daemons=3) == _drain(budget=_budget(), daemons=3)
+    assert _take_all(budget=budget, daemons=3) == _take_all(budget=_budget(), daemons=3)
 
 
-def test_what_is_told_is_what_the_others_hear():
+def test_a_summary_gives_peers_the_same_draws():
     one, two = _budget(), _budget()
-    _drain(budget=one, daemons=2)
+    _take_all(budget=one, daemons=2)
     two.update_peer(daemon="one", draws=one.summary())
     assert two.peer_draws["one"]["s"] == one.pool_draws["s"] and sum(one.pool_draws["s"].values()) > 0
 
 
-def test_a_requests_share_comes_from_own_requests_only():
+def test_the_ratio_applies_to_local_requests_only():
     budget = _budget(extra=0, ratio=0.2)
-    for place in range(100):
-        budget.note_request(service="s", now=ms(10) * place)
-    count = _drain(budget=budget, daemons=3, at=SECOND, synchronized=False)
+    for step in range(100):
+        budget.note_request(service="s", now=ms(10) * step)
+    count = _take_all(budget=budget, daemons=3, at=SECOND, synchronized=False)
     assert 10 <= count <= 20
-    assert _drain(budget=budget, daemons=3, at=SECOND * 30, synchronized=False) == 0
+    assert _take_all(budget=budget, daemons=3, at=SECOND * 30, synchronized=False) == 0
 
 
-def test_of_several_that_know_nothing_of_each_other_all_stay_within_the_allowance():
-    """The first moments after a cut: everyone draws as much as it can."""
+def test_daemons_without_contact_stay_within_the_allowance_together():
+    """Just after a network partition, when every daemon draws as much as it can."""
     for daemons in (2, 3, 9):
         count = 0
         budgets = [_budget() for _ in range(daemons)]
-        for place in range(10):
-            count += sum(_drain(budget=budget, daemons=daemons, at=ms(100) * place) for budget in budgets)
+        for step in range(10):
+            count += sum(_take_all(budget=budget, daemons=daemons, at=ms(100) * step) for budget in budgets)
         assert count <= 60, (daemons, count)
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_sums_over_daemons_that_tell_each_other_late_stay_within_the_allowance(seed):
-    """Three daemons whose clocks are off by as much as their bounds say, and whose word takes up to a second."""
-    chance = random.Random(seed)
+def test_daemons_with_delayed_summaries_stay_within_the_allowance_together(seed):
+    """Three daemons whose clock errors reach their bounds and whose messages take up to 1 s."""
+    random_source = random.Random(seed)
     budgets = {name: _budget(ratio=0.2) for name in "abc"}
-    off = {name: ms(chance.uniform(-100, 100)) for name in budgets}
-    under_way: list[tuple[timedelta, str, str, dict]] = []
+    clock_errors = {name: ms(random_source.uniform(-100, 100)) for name in budgets}
+    messages: list[tuple[timedelta, str, str, dict]] = []
     taken: list[timedelta] = []
     asked: list[timedelta] = []
     for tick in range(600):
         at = ms(100) * tick
         for name, budget in budgets.items():
-            if chance.random() < 0.3:
+            if random_source.random() < 0.3:
                 budget.note_request(service="s", now=at)
                 asked.append(at)
-            pressed = 100 < tick < 400
-            for _ in range(chance.randrange(6) if pressed else 0):
-                if budget.take(service="s", daemons=3, now=at, time=BEGIN + at + off[name], bound=ms(100)):
+            overloaded = 100 < tick < 400
+            for _ in range(random_source.randrange(6) if overloaded else 0):
+                if budget.take(
+                    service="s", daemons=3, now=at, time=START_TIME + at + clock_errors[name], bound=ms(100)
+                ):
                     taken.append(at)
             for other in budgets:
-                if other != name and chance.random() < 0.3:
-                    under_way.append((at + ms(chance.uniform(0, 1000)), other, name, budget.summary()))
-        for row in [row for row in under_way if row[0] <= at]:
-            under_way.remove(row)
+                if other != name and random_source.random() < 0.3:
+                    messages.append((at + ms(random_source.uniform(0, 1000)), other, name, budget.summary()))
+        for row in [row for row in messages if row[0] <= at]:
+            messages.remove(row)
             budgets[row[1]].update_peer(daemon=row[2], draws=row[3])
-    assert _over(extras=taken, asked=asked, extra=60) == []
+    assert _violations(extras=taken, asked=asked, extra=60) == []
     assert len(taken) > 60
 
 
-def test_draws_of_a_daemon_that_is_gone_count_until_their_windows_are_over():
-    """It was killed two seconds after it drew; its sends stay in the ten seconds that are judged."""
+def test_draws_of_a_daemon_that_is_gone_count_until_their_slices_expire():
+    """A daemon is killed two seconds after its draws; its sends are still within the ten seconds that are checked."""
     budgets = [_budget() for _ in range(3)]
-    count = sum(_drain(budget=budget, daemons=3, at=ms(100) * place) for place in range(5) for budget in budgets)
+    count = sum(_take_all(budget=budget, daemons=3, at=ms(100) * step) for step in range(5) for budget in budgets)
     for one in budgets:
-        for place, other in enumerate(budgets):
+        for number, other in enumerate(budgets):
             if other is not one:
-                one.update_peer(daemon=str(place), draws=other.summary())
+                one.update_peer(daemon=str(number), draws=other.summary())
     for budget in budgets[1:]:
-        # Its silence was noticed.
+        # Its failure has been detected.
         budget.forget(live={"1", "2"})
-        count += sum(_drain(budget=budget, daemons=2, at=SECOND * 7 + ms(100) * place) for place in range(5))
+        count += sum(_take_all(budget=budget, daemons=2, at=SECOND * 7 + ms(100) * step) for step in range(5))
     assert count <= 60, count
 
 
-def _over(*, extras: list[timedelta], asked: list[timedelta], extra: int = EXTRA) -> list[str]:
-    """Each window of ten seconds that ends at an extra arrival and holds more than is allowed."""
-    told = []
+def _violations(*, extras: list[timedelta], asked: list[timedelta], extra: int = EXTRA) -> list[str]:
+    """Describes each window of ten seconds that ends at an extra arrival and holds more than allowed."""
+    found = []
     for end in extras:
         count = sum(end - WINDOW < at <= end for at in extras)
         requests = max(
             sum(end - WINDOW - back < at <= end - back for at in asked) for back in (ZERO, WINDOW / 2, WINDOW)
         )
         if count > RATIO * requests + extra:
-            told.append(f"{count} extra arrivals for {requests} requests in the ten seconds to {end}")
-    return told
+            found.append(f"{count} extra arrivals for {requests} requests in the ten seconds to {end}")
+    return found
 
 
 def _breaches(*, made: Fleet) -> list[str]:
-    """Of a request's arrivals the first reading that was taken up is free, and so is one more; the rest are extra."""
+    """Checks the budget at the engines. Of a request's arrivals the first accepted prefill and one other are free; the
+    rest are extra."""
     extras = []
     for rows in made.record.by_id.values():
         free_read, free_run = True, True
@@ -180,16 +183,16 @@
                 free_run = False
             else:
                 extras.append(row.at)
-    return _over(extras=sorted(extras), asked=[seen.sent_at for seen in made.client.tries])
+    return _violations(extras=sorted(extras), asked=[seen.sent_at for seen in made.client.tries])
 
 
-def _lapse(*, made: Fleet, lapsing: bool) -> None:
+def _set_lapsing(*, made: Fleet, lapsing: bool) -> None:
     for engine in made.engines.values():
         if hasattr(engine, "lapsing"):
             engine.lapsing = lapsing
 
 
-def _turn(*, made: Fleet, phase: str, turning: bool) -> None:
+def _set_turning(*, made: Fleet, phase: str, turning: bool) -> None:
     for engine in made.engines.values():
         if getattr(engine, "phase", "") == phase:
             engine.turning = turning
@@ -198,12 +201,12 @@
 PATHS = ("/notes/a", "/check/c", "/once/b")
 
 
-def test_all_handles_lapsing_at_once_under_load_keep_to_the_budget():
+def test_the_budget_holds_when_all_kv_handles_expire_at_once_under_load():
     with fleet(seed=41, extra=EXTRA) as made:
         made.load(paths=PATHS, per_second=12, seconds=2)
-        _lapse(made=made, lapsing=True)
+        _set_lapsing(made=made, lapsing=True)
         tries = made.load(paths=PATHS, per_second=16, seconds=11)
-        _lapse(made=made, lapsing=False)
+        _set_lapsing(made=made, lapsing=False)
         after = made.load(paths=PATHS, per_second=12, seconds=2)
         assert _breaches(made=made) == []
         assert made.wrong(tries=tries + after) == []
@@ -211,26 +214,26 @@
         made.sound()
 
 
-def test_without_the_budget_lapsing_handles_would_go_over_it(monkeypatch):
+def test_without_the_budget_expiring_handles_would_exceed_it(monkeypatch):
     monkeypatch.setattr(Budget, "take", lambda self, **_: True)
     with fleet(seed=41, extra=EXTRA) as made:
-        _lapse(made=made, lapsing=True)
+        _set_lapsing(made=made, lapsing=True)
         made.load(paths=PATHS, per_second=20, seconds=3)
         assert _breaches(made=made)
 
 
-def test_reading_engines_that_turn_everything_away_keep_to_the_budget():
+def test_the_budget_holds_when_prefill_engines_reject_everything():
     with fleet(seed=42, extra=EXTRA) as made:
-        _turn(made=made, phase="prefill", turning=True)
+        _set_turning(made=made, phase="prefill", turning=True)
         tries = made.load(paths=PATHS, per_second=20, seconds=3)
         assert made.wrong(tries=tries) == []
         made.sound()
         assert _breaches(made=made)[:1] == []
 
 
-def test_writing_engines_that_turn_everything_away_keep_to_the_budget():
+def test_the_budget_holds_when_decode_engines_reject_everything():
     with fleet(seed=43, extra=EXTRA) as made:
-        _turn(made=made, phase="decode", turning=True)
+        _set_turning(made=made, phase="decode", turning=True)
         tries = made.load(paths=PATHS, per_second=20, seconds=3)
         assert made.wrong(tries=tries) == []
         assert all(seen.refused for seen in tries)
@@ -239,10 +242,10 @@
 
 
 @pytest.mark.parametrize("killed", ((0,), (0, 1, 2)))
-def test_daemons_that_are_killed_and_begin_again_keep_to_the_budget(killed):
-    """What their former lives sent is in the same ten seconds, and at first they know of nobody."""
+def test_the_budget_holds_across_killed_and_restarted_daemons(killed):
+    """Sends of the previous processes are within the same ten seconds, and new processes know no peers at first."""
     with fleet(seed=44, extra=EXTRA) as made:
-        _lapse(made=made, lapsing=True)
+        _set_lapsing(made=made, lapsing=True)
         tries = made.load(paths=PATHS, per_second=20, seconds=3)
         for _ in range(2):
             for zone in killed:
--- a/tests/dependencies_test.py
+++ b/tests/dependencies_test.py
@@ -1,4 +1,4 @@
-"""Build folders that were carried over from another machine."""
+"""Dependency folders that were copied from another machine."""
 
 import platform
 import shutil
@@ -17,12 +17,12 @@
 
 
 def check(*, folder: Path, note: bool = False) -> int:
-    words = ["--note"] if note else []
-    return subprocess.run([sys.executable, "deploy/dependencies.py", *words], cwd=folder).returncode
+    arguments = ["--note"] if note else []
+    return subprocess.run([sys.executable, "deploy/dependencies.py", *arguments], cwd=folder).returncode
 
 
-def test_dependencies_of_this_machine_are_kept_and_others_built_anew(tmp_path):
-    """Guards against compiled parts of another processor or Python, which do not load."""
+def test_dependencies_built_on_this_machine_are_kept_and_others_removed(tmp_path):
+    """Guards against packages compiled for another processor or Python version, which fail to load."""
     deps = copy_of_deploy(folder=tmp_path)
     assert check(folder=tmp_path) == 1 and not deps.exists(), "without a stamp"
     deps.mkdir()
@@ -32,7 +32,7 @@
     assert check(folder=tmp_path) == 1 and not deps.exists()
 
 
-def test_other_requirements_are_built_anew(tmp_path):
+def test_dependencies_of_changed_requirements_are_removed(tmp_path):
     deps = copy_of_deploy(folder=tmp_path)
     assert check(folder=tmp_path, note=True) == 0
     with open(tmp_path / "deploy" / "requirements.txt", "a") as file:
@@ -40,7 +40,7 @@
     assert check(folder=tmp_path) == 1 and not deps.exists()
 
 
-def test_the_build_asks_it():
+def test_the_build_command_runs_the_check():
     build = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())["build"]
     assert build.startswith("python3 deploy/dependencies.py || {")
     assert "python3 deploy/dependencies.py --note" in build
--- a/tests/deploy_test.py
+++ b/tests/deploy_test.py
@@ -1,4 +1,4 @@
-"""What the daemons are deployed with is what the project is locked to."""
+"""The deployed dependencies match the project's lock file."""
 
 import tomllib
 from pathlib import Path
@@ -7,7 +7,7 @@
 
 
 def _pins(*, path: Path) -> dict[str, tuple[str, frozenset[str]]]:
-    """Version and hashes by package."""
+    """The pinned version and hashes of each package."""
     pins: dict[str, tuple[str, frozenset[str]]] = {}
     for block in path.read_text().replace("\\\n", " ").splitlines():
         line = block.partition("#")[0].strip()
@@ -26,13 +26,13 @@
     assert {name: pin for name, pin in deployed.items() if locked.get(name) != pin} == {}
 
 
-def test_all_that_the_project_depends_on_is_deployed():
+def test_all_dependencies_of_the_project_are_deployed():
     project = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]
     deployed = _pins(path=ROOT / "deploy" / "requirements.txt")
     assert {name.lower() for name in project["dependencies"]} <= set(deployed)
 
 
-def test_each_role_runs_a_program_that_is_there():
+def test_the_program_of_each_role_exists():
     roles = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())["roles"]
     for role in roles.values():
         assert (ROOT / role["run"].split(" ")[1]).is_file()
--- a/tests/directory_test.py
+++ b/tests/directory_test.py
@@ -1,4 +1,4 @@
-"""The list of engines as the daemons tell it to each other."""
+"""The age of the engine list when daemons pass it on to each other."""
 
 import random
 from datetime import timedelta
@@ -11,7 +11,7 @@
 
 
 class StillHost(Host):
-    """A host whose time stands until moved."""
+    """A host whose time changes only when a test sets it."""
 
     def __init__(self, *, name: str) -> None:
         self.name = name
@@ -36,20 +36,21 @@
     return [Directory(host=StillHost(name=name), deployment=deployment, protocol=None) for name in ("a", "b")]
 
 
-def test_a_copy_that_two_daemons_tell_each_other_grows_old_all_the_same():
-    """Each telling is heard a little late; were its time counted from the hearing, two daemons would keep one copy
-    young for ever, and nobody would ask for a newer one."""
-    here, there = pair()
-    here.replace(rows={"e": row(name="e")}, requested_at=here.host.elapsed(), origin="a:1")
-    there.replace(rows={"e": row(name="e")}, requested_at=there.host.elapsed(), origin="a:1")
+def test_a_copy_that_two_daemons_report_to_each_other_still_ages():
+    """Guards against copies that never age: each report arrives a little late, so if the age counted from its arrival,
+    two daemons would keep one copy young for ever and none would fetch a newer one."""
+    first, second = pair()
+    first.replace(rows={"e": row(name="e")}, requested_at=first.host.elapsed(), origin="a:1")
+    second.replace(rows={"e": row(name="e")}, requested_at=second.host.elapsed(), origin="a:1")
     for _ in range(40):
-        for teller, hearer in ((here, there), (there, here)):
-            told_age = teller.age
-            for directory in (here, there):
+        for sender, receiver in ((first, second), (second, first)):
+            reported_age = sender.age
+            for directory in (first, second):
                 directory.host.time += ms(50)
-            # Heard 50 ms after it was told.
-            hearer.merge_peer(
-                digest=teller.digest, origin=teller.origin, requested_at=hearer.host.elapsed() - told_age, delta=None
+            # The report takes 50 ms.
+            receiver.merge_peer(
+                digest=sender.digest, origin=sender.origin, requested_at=receiver.host.elapsed() - reported_age,
+                delta=None,
             )  # fmt: skip
-    assert here.age >= timedelta(seconds=3.9) and there.age >= timedelta(seconds=3.9)
-    assert here.due(rank=0) and there.due(rank=1)
+    assert first.age >= timedelta(seconds=3.9) and second.age >= timedelta(seconds=3.9)
+    assert first.due(rank=0) and second.due(rank=1)
--- a/tests/failing_test.py
+++ b/tests/engine_failures_test.py
@@ -1,4 +1,4 @@
-"""Engines that crash or go dark."""
+"""Engines that crash or become unresponsive."""
 
 import pytest
 
@@ -9,12 +9,13 @@
 PATHS = ("/notes/a", "/check/c")
 
 
-def _dark(*, made: Fleet, engine: str, how: str, dark: bool) -> None:
-    """A frozen engine's machine still opens connections and takes bytes in; a machine without power does nothing."""
+def _set_unresponsive(*, made: Fleet, engine: str, how: str, unresponsive: bool) -> None:
+    """The machine of a frozen engine process still accepts connections and receives bytes; an isolated machine does
+    nothing."""
     host = made.hosts[engine]
     if how == "machine":
-        host.machine.isolated = dark
-    elif dark:
+        host.machine.isolated = unresponsive
+    elif unresponsive:
         host.freeze()
     else:
         host.thaw()
@@ -25,28 +26,28 @@
 
 
 @pytest.mark.parametrize(("how", "engine"), [("machine", "i-p0"), ("machine", "i-d3"), ("process", "i-d3")])
-def test_from_a_dark_engine_work_goes_elsewhere_and_comes_back_once_it_is_well(how, engine):
+def test_requests_avoid_an_unresponsive_engine_and_return_once_it_is_healthy(how, engine):
     with fleet(seed=31) as made:
         tries = made.load(paths=PATHS, per_second=9, seconds=2)
         assert _used(made=made, engine=engine, since=0 * SECOND)
         onset = made.world.now()
-        _dark(made=made, engine=engine, how=how, dark=True)
+        _set_unresponsive(made=made, engine=engine, how=how, unresponsive=True)
         during = made.load(paths=PATHS, per_second=5, seconds=7)
         known = [seen for seen in during if seen.sent_at > onset + 3 * SECOND]
         slow = [seen for seen in known if not seen.right or seen.ended_at - seen.sent_at > 2 * SECOND]
         assert len(slow) <= len(known) // 15, f"{len(slow)} of {len(known)} were not served within 2 s"
         assert made.wrong(tries=tries + during) == []
-        _dark(made=made, engine=engine, how=how, dark=False)
-        well = made.world.now()
-        # It may have become a reader meanwhile, which is home to few of these beginnings.
+        _set_unresponsive(made=made, engine=engine, how=how, unresponsive=False)
+        recovered = made.world.now()
+        # It may have become a prefill engine meanwhile, and the home of few of these prefixes.
         tries = made.load(paths=PATHS, per_second=4, seconds=16)
-        assert _used(made=made, engine=engine, since=well + 8 * SECOND)
+        assert _used(made=made, engine=engine, since=recovered + 8 * SECOND)
         assert [seen for seen in tries if not seen.right] == []
         made.sound()
 
 
 @pytest.mark.parametrize("engine", ("i-p0", "i-d3"))
-def test_a_crashed_engines_work_goes_on_elsewhere_and_its_next_life_is_used(engine):
+def test_requests_of_a_crashed_engine_continue_elsewhere_and_its_replacement_is_used(engine):
     with fleet(seed=32) as made:
         before = made.load(paths=PATHS, per_second=9, seconds=2)
         crashed = made.world.now()
@@ -64,8 +65,8 @@
         made.sound()
 
 
-def test_a_reading_that_stays_silent_is_done_elsewhere_in_time():
-    """Reading is not running: it may be repeated whatever the route, and eight seconds are plenty."""
+def test_an_unanswered_prefill_is_repeated_elsewhere_in_time():
+    """A prefill does not run the request: it may be repeated on every route, and 8 s are enough for that."""
     with fleet(seed=37) as made:
         made.load(paths=PATHS, per_second=9, seconds=2)
         made.hosts["i-p0"].freeze()
@@ -76,13 +77,13 @@
 
 
 def _crash(*, made: Fleet, engine: str) -> None:
-    """In the middle of its work."""
+    """Kills the engine while it has open requests."""
     made.sleep(seconds=0.5)
     made.kill(name=engine)
 
 
 @pytest.mark.parametrize("path", ("/once/b", "/write/d"))
-def test_what_was_at_a_crashed_engine_and_may_not_be_repeated_is_not(path):
+def test_requests_at_a_crashed_engine_are_not_repeated_if_their_route_forbids_it(path):
     with fleet(seed=33, phases="d") as made:
         made.outside.spawn(task=_crash, made=made, engine="i-d0")
         tries = made.load(paths=(path,), per_second=30, seconds=1)
@@ -91,9 +92,9 @@
         made.sound()
 
 
-def test_an_address_that_was_handed_to_an_engine_of_another_service_runs_nothing_of_the_former():
-    """The list shows the former engine for a while yet. That another one answers a probe at its address does not make
-    it well: its answers name the instance."""
+def test_an_address_reused_by_another_service_gets_no_requests_of_the_former():
+    """The list still shows the former engine for a while. A probe answered by another engine at its address does not
+    make it healthy: answers name the instance."""
     with fleet(seed=34) as made:
         made.load(paths=PATHS, per_second=9, seconds=2)
         made.kill(name="i-d3")
@@ -112,13 +113,13 @@
 def test_when_health_is_ignored_requests_still_go_to_an_unresponsive_engine(monkeypatch):
     monkeypatch.setattr(EngineHealth, "is_failing", lambda self, *, engine: False)
     with fleet(seed=31) as made:
-        _dark(made=made, engine="i-p0", how="machine", dark=True)
+        _set_unresponsive(made=made, engine="i-p0", how="machine", unresponsive=True)
         tries = made.load(paths=PATHS, per_second=9, seconds=5)
         late = [seen for seen in tries if seen.sent_at > tries[0].sent_at + 3 * SECOND]
         assert any(not seen.right or seen.ended_at - seen.sent_at > ms(600) for seen in late)
 
 
-def test_memory_that_no_engine_takes_is_freed_at_once():
+def test_kv_cache_that_no_decode_engine_accepts_is_freed_at_once():
     with fleet(seed=35) as made:
         for engine in made.engines.values():
             engine.turning = engine.phase == "decode"
@@ -129,7 +130,7 @@
         made.sound()
 
 
-def test_a_daemon_that_is_told_to_stop_is_not_ready_and_brings_what_it_has_to_its_end():
+def test_a_draining_daemon_is_not_ready_and_completes_its_open_requests():
     with fleet(seed=36) as made:
         edge = made.daemons["edge-0"]
         stopped = []
--- a/tests/engine_health_test.py
+++ b/tests/engine_health_test.py
@@ -1,11 +1,11 @@
-"""Which engines are left out, and for how long."""
+"""Engine health: which engines are excluded after failures, and for how long."""
 
 from dockmux.platform_proxy.engine_health import MAX_PROBE_DELAY, OBSERVATION_TTL, PEER_RENEWAL_TIME, EngineHealth
 from dockmux.runtime.log_events import LogEvent
 from tests.standins.still import StillHost
 
 
-def test_a_failure_leaves_an_engine_out_until_it_was_seen_well():
+def test_a_failed_engine_is_excluded_until_it_is_observed_healthy():
     host = StillHost()
     engine_health = EngineHealth(host=host)
     assert not engine_health.is_failing(engine="e") and engine_health.due_for_probe() == []
@@ -18,7 +18,7 @@
     assert host.logged == [LogEvent.ENGINE_FAILING, LogEvent.ENGINE_WELL]
 
 
-def test_looks_come_at_growing_intervals_up_to_a_bound():
+def test_the_probe_delay_grows_up_to_a_maximum():
     host = StillHost()
     engine_health = EngineHealth(host=host)
     delays = []
@@ -29,16 +29,16 @@
     assert delays[0] < delays[1] < delays[2] and max(delays) <= MAX_PROBE_DELAY * 1.2
 
 
-def test_any_number_of_failures_in_a_row_is_borne():
-    """A whole crowd of requests at one engine fails with it."""
+def test_many_failures_in_a_row_cause_no_error():
+    """All requests at an engine fail together with it."""
     engine_health = EngineHealth(host=StillHost())
     for _ in range(2000):
         engine_health.note_failure(engine="e", why="reset")
     assert engine_health.is_failing(engine="e")
 
 
-def test_failures_of_one_moment_count_once_for_the_wait():
-    """Fifty requests that were at an engine when it broke off say no more than one of them."""
+def test_simultaneous_failures_count_once_for_the_probe_delay():
+    """Fifty requests that fail with their engine are one failure of the engine."""
     host = StillHost()
     engine_health = EngineHealth(host=host)
     for _ in range(10):
@@ -46,26 +46,26 @@
     assert engine_health.rows["e"].failing_until - host.elapsed() < MAX_PROBE_DELAY * 0.5
 
 
-def test_daemons_tell_each_other_and_the_later_sight_counts():
-    one, two = StillHost(seed=1), StillHost(seed=2)
-    here, there = EngineHealth(host=one), EngineHealth(host=two)
-    here.note_failure(engine="e", why="reset")
-    there.update_from_peer(summary=here.summary())
-    assert there.is_failing(engine="e") and there.due_for_probe() == [] and there.summary() == {}
-    two.pass_ms(500)
-    old = here.summary()
-    one.pass_ms(500)
-    here.note_success(engine="e")
-    there.update_from_peer(summary=here.summary())
-    assert not there.is_failing(engine="e")
-    # A word that was under way for long does not bring the older sight back.
-    two.pass_ms(50)
-    one.pass_ms(50)
-    there.update_from_peer(summary={"e": [old["e"][0], old["e"][1] + 550, 0]})
-    assert not there.is_failing(engine="e")
+def test_daemons_share_observations_and_the_later_one_counts():
+    local_host, remote_host = StillHost(seed=1), StillHost(seed=2)
+    local, remote = EngineHealth(host=local_host), EngineHealth(host=remote_host)
+    local.note_failure(engine="e", why="reset")
+    remote.update_from_peer(summary=local.summary())
+    assert remote.is_failing(engine="e") and remote.due_for_probe() == [] and remote.summary() == {}
+    remote_host.pass_ms(500)
+    old_summary = local.summary()
+    local_host.pass_ms(500)
+    local.note_success(engine="e")
+    remote.update_from_peer(summary=local.summary())
+    assert not remote.is_failing(engine="e")
+    # A delayed message does not restore the older observation.
+    remote_host.pass_ms(50)
+    local_host.pass_ms(50)
+    remote.update_from_peer(summary={"e": [old_summary["e"][0], old_summary["e"][1] + 550, 0]})
+    assert not remote.is_failing(engine="e")
 
 
-def test_a_sight_of_a_daemon_that_is_gone_lapses():
+def test_an_observation_of_a_daemon_that_is_gone_expires():
     host = StillHost()
     engine_health = EngineHealth(host=host)
     engine_health.update_from_peer(summary={"e": [0, 10, 500]})
@@ -76,7 +76,7 @@
     assert not engine_health.is_failing(engine="e")
 
 
-def test_what_is_told_is_forgotten_in_time_but_not_while_the_engine_fails_here():
+def test_observations_expire_and_those_of_removed_engines_are_dropped():
     host = StillHost()
     engine_health = EngineHealth(host=host)
     engine_health.note_failure(engine="e", why="reset")
--- a/tests/work_test.py
+++ b/tests/load_tracker_test.py
@@ -1,4 +1,4 @@
-"""What lies at each engine, as the other daemons told it."""
+"""LoadTracker: the load of each engine as reported by the other daemons."""
 
 from datetime import timedelta
 
@@ -7,7 +7,7 @@
 from tests.standins.still import StillHost
 
 
-def test_each_daemons_last_word_replaces_the_one_before():
+def test_a_daemons_new_summary_replaces_the_previous_one():
     host = StillHost()
     load_tracker = LoadTracker(host=host)
     load_tracker.update_peer(daemon="a", works={"i-1": [400, 2], "i-2": [100, 1]})
@@ -19,7 +19,7 @@
     assert load_tracker.streams(engine="i-3") == 1
 
 
-def test_a_word_fades_and_lapses():
+def test_reported_load_decays_and_expires():
     host = StillHost()
     load_tracker = LoadTracker(host=host)
     load_tracker.update_peer(daemon="a", works={"i-1": [400, 2]})
@@ -29,7 +29,7 @@
     assert (load_tracker.backlog(engine="i-1"), load_tracker.streams(engine="i-1")) == (ZERO, 0)
 
 
-def test_daemons_that_are_gone_are_forgotten():
+def test_summaries_of_daemons_that_are_gone_are_dropped():
     host = StillHost()
     load_tracker = LoadTracker(host=host)
     for daemon in ("a", "b"):
@@ -40,7 +40,7 @@
     assert load_tracker.streams(engine="i-1") == 0 and not load_tracker.peer_loads and not load_tracker.peer_summaries
 
 
-def test_own_work_counts_as_long_as_it_lasts():
+def test_local_load_counts_until_it_ends():
     load_tracker = LoadTracker(host=StillHost())
     with load_tracker.prefilling(engine="i-1", span=ms(80)), load_tracker.streaming(engine="i-1"):
         assert (load_tracker.backlog(engine="i-1"), load_tracker.streams(engine="i-1")) == (ms(80), 1)
--- a/tests/packages_test.py
+++ b/tests/packages_test.py
@@ -1,4 +1,4 @@
-"""`deploy/system.toml` lists the Debian packages that its build and its programs need, no more and no less."""
+"""`deploy/system.toml` lists exactly the Debian packages that its build command and programs need."""
 
 import re
 import shlex
@@ -10,16 +10,16 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 BASE = ""
-"""Stands for what every Debian system has: its essential packages and what these depend on."""
+"""Stands for the packages of every Debian system: the essential ones and their dependencies."""
 PACKAGE_OF_PROGRAM = {
     "[": BASE,
     "touch": BASE,
     "python3": "python3",
     "python3 -m pip": "python3-pip",
 }
-PACKAGES_OF_DOWNLOADS = frozenset({"ca-certificates"})
-"""What pip needs to reach a registry over TLS."""
-PARTS_OF_THE_C_LIBRARY = (
+DOWNLOAD_PACKAGES = frozenset({"ca-certificates"})
+"""Needed by pip to reach a registry over TLS."""
+C_LIBRARY_FILES = (
     "libBrokenLocale.so.1",
     "libanl.so.1",
     "libc.so.6",
@@ -38,11 +38,11 @@
     "libthread_db.so.1",
     "libutil.so.1",
 )
-"""What libc6 of Debian 12 holds, by the `shlibs` files of its amd64 and arm64 packages; libmvec is on amd64 only."""
+"""The libraries in libc6 of Debian 12, by the `shlibs` files of its amd64 and arm64 packages; libmvec: amd64 only."""
 LOADERS = ("ld-linux-x86-64.so.2", "ld-linux-aarch64.so.1")
-"""The same files' program loaders, of amd64 and arm64."""
+"""The dynamic loaders in the same `shlibs` files, of amd64 and arm64."""
 PACKAGE_OF_LIBRARY = {
-    **dict.fromkeys(PARTS_OF_THE_C_LIBRARY, BASE),
+    **dict.fromkeys(C_LIBRARY_FILES, BASE),
     **dict.fromkeys(LOADERS, BASE),
     "libgcc_s.so.1": BASE,
     "libstdc++.so.6": "libstdc++6",
@@ -52,7 +52,7 @@
 
 
 class UnknownLibrary(AssertionError):
-    """A compiled dependency names a library of which this test does not know the package."""
+    """A compiled dependency needs a library whose package this test does not know."""
 
 
 def _system() -> dict:
@@ -60,14 +60,14 @@
 
 
 def _words(*, command: str) -> list[str]:
-    """The words of a command, its separators among them, as a shell splits them."""
+    """Splits a command into words and separators as a shell does."""
     lexer = shlex.shlex(command, posix=True, punctuation_chars="();|&")
     lexer.whitespace_split = True
     return list(lexer)
 
 
 def _programs(*, command: str) -> set[str]:
-    """What a shell command calls; a module that Python runs stands with its `-m`."""
+    """The programs that a shell command runs; a module run by Python is named with its `-m`."""
     programs = set()
     words = _words(command=command)
     for place, word in enumerate(words):
@@ -81,22 +81,22 @@
 
 
 def _compiled_libraries() -> set[str]:
-    """The shared libraries that the installed compiled parts of the deployed packages name."""
-    pins = re.findall(r"^([\w.-]+)==", (ROOT / "deploy" / "requirements.txt").read_text(), re.MULTILINE)
+    """The shared libraries needed by the compiled modules of the deployed packages, as installed here."""
+    package_names = re.findall(r"^([\w.-]+)==", (ROOT / "deploy" / "requirements.txt").read_text(), re.MULTILINE)
     libraries: set[str] = set()
-    for pin in pins:
-        for file in metadata.files(pin) or []:
+    for package_name in package_names:
+        for file in metadata.files(package_name) or []:
             if ".so" in file.suffixes and "tests" not in file.parts:
                 libraries |= {name.decode() for name in NEEDED_LIBRARY.findall(Path(file.locate()).read_bytes())}
     return libraries
 
 
 def _package_of(*, library: str) -> str:
-    """The Debian package of a shared library; UnknownLibrary for one that is not in the table."""
+    """The Debian package of a shared library. Raises UnknownLibrary if it is not in the table."""
     if library not in PACKAGE_OF_LIBRARY:
         raise UnknownLibrary(
-            f"{library} is named by a compiled dependency and stands in no table of {Path(__file__).name}: "
-            f"look up its package (dpkg -S {library}) and enter it"
+            f"{library} is needed by a compiled dependency and not listed in {Path(__file__).name}: "
+            f"look up its package (dpkg -S {library}) and add it"
         )
     return PACKAGE_OF_LIBRARY[library]
 
@@ -108,7 +108,7 @@
     packages = {PACKAGE_OF_PROGRAM[program] for program in programs}
     packages |= {_package_of(library=library) for library in _compiled_libraries()}
     if "python3 -m pip" in programs:
-        packages |= PACKAGES_OF_DOWNLOADS
+        packages |= DOWNLOAD_PACKAGES
     return packages - {BASE}
 
 
@@ -122,21 +122,21 @@
     assert _programs(command="python3 platform/core.py") == {"python3"}
 
 
-def test_the_listed_packages_are_those_that_build_and_run_need():
+def test_the_listed_packages_are_those_needed_to_build_and_run():
     assert _system()["packages"] == sorted(_needed())
 
 
-def test_the_compiled_dependencies_are_seen():
+def test_compiled_dependencies_are_found():
     assert "libstdc++.so.6" in _compiled_libraries()
 
 
-def test_a_library_that_no_table_knows_is_named_in_the_failure():
-    with pytest.raises(UnknownLibrary, match=r"libssl\.so\.3 is named .*dpkg -S libssl"):
+def test_an_unknown_library_is_named_in_the_error():
+    with pytest.raises(UnknownLibrary, match=r"libssl\.so\.3 is needed .*dpkg -S libssl"):
         _package_of(library="libssl.so.3")
 
 
-def test_the_machine_that_runs_this_has_its_c_library_in_the_table():
-    """Where Debian's own list of the C library's parts is at hand, the table has all of them."""
+def test_the_table_covers_the_c_library_of_this_machine():
+    """If Debian's own list of the C library's files is installed, the table has all of them."""
     lists = sorted(Path("/var/lib/dpkg/info").glob("libc6*.shlibs"))
     for path in lists:
         rows = [line.split() for line in path.read_text().splitlines() if not line.startswith("udeb:")]
--- a/tests/orders_test.py
+++ b/tests/phase_orders_test.py
@@ -1,43 +1,43 @@
-"""Orders that move engines between reading and writing."""
+"""Orders that move engines between the prefill and decode phases."""
 
 from tests.standins.fleet import SECOND, Fleet, fleet
 
 PATHS = ("/notes/a", "/check/c", "/once/b")
 
 
-def _press(*, made: Fleet, seconds: float, zones: tuple[int, ...] = (0, 1, 2)) -> list:
-    """Long prompts only, which take an engine far longer to read than what one reader can bear."""
+def _overload(*, made: Fleet, seconds: float, zones: tuple[int, ...] = (0, 1, 2)) -> list:
+    """Sends only long prompts, more than one prefill engine can process in time."""
     for engine in made.engines.values():
         if hasattr(engine, "tokens_per_ms"):
             engine.tokens_per_ms = 20
     return made.load(paths=PATHS, per_second=8, seconds=seconds, tokens_in=14_000, parts="", zones=zones)
 
 
-def test_pressed_reading_gets_one_more_engine_and_nothing_is_harmed():
+def test_overloaded_prefill_gets_one_more_engine_without_errors():
     with fleet(seed=51, phases="pddddd") as made:
         made.sleep(seconds=4)
-        tries = _press(made=made, seconds=6)
+        tries = _overload(made=made, seconds=6)
         accepted = [fields for _, _, fields in made.record.orders if fields["phase"] == "prefill"]
         assert accepted and made.wrong(tries=tries) == []
         assert [seen for seen in tries if not seen.right and not seen.refused] == []
         made.sound()
 
 
-def test_a_killed_head_and_its_follower_keep_their_turns():
+def test_orders_of_a_killed_head_and_its_successor_do_not_conflict():
     with fleet(seed=52, phases="pddddddd") as made:
         made.sleep(seconds=4)
-        # Pressed for so long only that engines are left that can be moved after the kill.
-        tries = _press(made=made, seconds=1.5)
+        # Overloaded only briefly, so that engines remain that can be moved after the kill.
+        tries = _overload(made=made, seconds=1.5)
         before = len(made.record.orders)
         made.kill(name=made.head())
-        tries += _press(made=made, seconds=10)
+        tries += _overload(made=made, seconds=10)
         assert before and len(made.record.orders) > before
         assert len({fields["owner"] for _, _, fields in made.record.orders}) == 2
         assert made.wrong(tries=tries) == []
         made.sound()
 
 
-def test_a_calm_fleet_orders_nothing():
+def test_no_orders_are_sent_under_light_load():
     with fleet(seed=53) as made:
         made.load(paths=PATHS, per_second=3, seconds=8, tokens_in=1000)
         assert made.record.orders == []
--- a/tests/placement_test.py
+++ b/tests/placement_test.py
@@ -1,4 +1,4 @@
-"""Where prompts are read and answers written, and the work that lies at engines."""
+"""Choice of the prefill and decode engines, and the load that it is based on."""
 
 from collections import Counter
 
@@ -21,7 +21,7 @@
 DECODE_ENGINES = [_engine(name=f"d{place}", phase="decode") for place in range(4)]
 
 
-def _ask(*, shared: str, own: str = "own", shared_tokens: int = 6000, own_tokens: int = 6000) -> RequestMetadata:
+def _metadata(*, shared: str, own: str = "own", shared_tokens: int = 6000, own_tokens: int = 6000) -> RequestMetadata:
     prefix_blocks = (PrefixBlock(name=shared, tokens=shared_tokens), PrefixBlock(name=own, tokens=own_tokens))
     return RequestMetadata(
         request_id="r", deadline=None, model="m", tokens_in=shared_tokens + own_tokens, tokens_out=20,
@@ -35,12 +35,12 @@
 
 
 def _prefill_engine(*, placement: Placement, shared: str, engines: list[EngineEntry]) -> str:
-    pairing = placement.choose(service="s", metadata=_ask(shared=shared), engines=engines, avoid=set())
+    pairing = placement.choose(service="s", metadata=_metadata(shared=shared), engines=engines, avoid=set())
     assert pairing is not None and pairing.prefill_engine is not None
     return pairing.prefill_engine.engine
 
 
-def test_daemons_agree_where_a_shared_beginning_is_read():
+def test_daemons_agree_on_the_engine_that_prefills_a_shared_prefix():
     one, two = _placement(seed=1), _placement(seed=2)
     homes = [
         _prefill_engine(placement=one, shared=f"b{place}", engines=PREFILL_ENGINES + DECODE_ENGINES)
@@ -54,7 +54,7 @@
     assert min(Counter(homes).values()) > 20 and len(set(homes)) == 5
 
 
-def test_when_an_engine_comes_or_goes_only_its_own_share_moves():
+def test_adding_or_removing_an_engine_remaps_only_its_own_share():
     keys = [f"b{place}" for place in range(300)]
     before = {key: rendezvous_order(key=key, engines=PREFILL_ENGINES)[0].engine for key in keys}
     more = {key: rendezvous_order(key=key, engines=[*PREFILL_ENGINES, _engine(name="p9")])[0].engine for key in keys}
@@ -64,21 +64,21 @@
     assert {before[key] for key in keys if fewer[key] != before[key]} == {"p0"}
 
 
-def test_when_the_home_is_pressed_a_prompt_is_read_elsewhere():
+def test_a_prompt_is_prefilled_elsewhere_while_its_home_engine_is_overloaded():
     placement = _placement()
     home = _prefill_engine(placement=placement, shared="b", engines=PREFILL_ENGINES + DECODE_ENGINES)
     placement.load_tracker.update_peer(daemon="other", works={home: [20, 1]})
     assert _prefill_engine(placement=placement, shared="b", engines=PREFILL_ENGINES + DECODE_ENGINES) == home
     placement.load_tracker.update_peer(daemon="other", works={home: [2000, 5]})
     assert _prefill_engine(placement=placement, shared="b", engines=PREFILL_ENGINES + DECODE_ENGINES) != home
-    # Word of the press lapses.
+    # The report of the overload expires.
     placement.host.pass_ms(3100)
     assert _prefill_engine(placement=placement, shared="b", engines=PREFILL_ENGINES + DECODE_ENGINES) == home
 
 
 def test_engines_to_avoid_are_avoided_while_there_are_others():
     placement = _placement()
-    metadata = _ask(shared="b")
+    metadata = _metadata(shared="b")
     home = _prefill_engine(placement=placement, shared="b", engines=PREFILL_ENGINES + DECODE_ENGINES)
     for _ in range(20):
         pairing = placement.choose(
@@ -96,21 +96,21 @@
     assert placement.choose(service="s", metadata=metadata, engines=[], avoid=set()) is None
 
 
-def test_without_reading_engines_the_writer_reads_and_what_is_short_is_read_there_too():
+def test_the_decode_engine_prefills_short_prompts_and_all_prompts_without_prefill_engines():
     placement = _placement()
-    pairing = placement.choose(service="s", metadata=_ask(shared="b"), engines=DECODE_ENGINES, avoid=set())
+    pairing = placement.choose(service="s", metadata=_metadata(shared="b"), engines=DECODE_ENGINES, avoid=set())
     assert pairing.prefill_engine is None and pairing.local_prefill_time > ZERO
-    short = _ask(shared="b", shared_tokens=100, own_tokens=20)
+    short = _metadata(shared="b", shared_tokens=100, own_tokens=20)
     pairing = placement.choose(service="s", metadata=short, engines=PREFILL_ENGINES + DECODE_ENGINES, avoid=set())
     assert pairing.prefill_engine is None
 
 
-def test_writing_goes_to_the_least_loaded_near():
+def test_decoding_goes_to_the_least_loaded_engine_nearby():
     placement = _placement()
     far = [_engine(name="far", phase="decode", zone="lake")]
     names = {
         placement.choose_decode_engine(
-            metadata=_ask(shared="b"), decode_engines=[*far, DECODE_ENGINES[0]], near_zone="hill"
+            metadata=_metadata(shared="b"), decode_engines=[*far, DECODE_ENGINES[0]], near_zone="hill"
         ).engine
         for _ in range(20)
     }
@@ -118,15 +118,15 @@
     placement.load_tracker.update_peer(daemon="other", works={"d0": [0, 40]})
     assert (
         placement.choose_decode_engine(
-            metadata=_ask(shared="b"), decode_engines=[*far, DECODE_ENGINES[0]], near_zone="hill"
+            metadata=_metadata(shared="b"), decode_engines=[*far, DECODE_ENGINES[0]], near_zone="hill"
         ).engine
         == "far"
     )
 
 
-def test_parts_that_were_read_are_known_from_the_first_on():
+def test_blocks_count_as_cached_only_from_the_first_block_on():
     placement = _placement()
-    metadata = _ask(shared="b", shared_tokens=1000, own_tokens=200)
+    metadata = _metadata(shared="b", shared_tokens=1000, own_tokens=200)
     engine = PREFILL_ENGINES[0]
     assert placement.uncached_tokens(engine=engine, metadata=metadata, is_home=False) == 1200
     assert placement.uncached_tokens(engine=engine, metadata=metadata, is_home=True) == 200
@@ -140,7 +140,7 @@
     assert placement.uncached_tokens(engine=engine, metadata=metadata, is_home=False) == 1200
 
 
-def test_the_pace_follows_what_is_seen_within_bounds():
+def test_the_prefill_rate_follows_measurements_within_bounds():
     placement = _placement()
     initial = placement.prefill_time(service="s", tokens=4000)
     for _ in range(100):
@@ -152,7 +152,7 @@
     assert placement.prefill_rates == before
 
 
-def test_what_is_shared_is_all_but_the_last_part():
+def test_the_shared_prefix_is_all_but_the_last_block():
     assert (
         shared_prefix_key(prefix_blocks=()) == ""
         and shared_prefix_key(prefix_blocks=(PrefixBlock(name="own", tokens=1),)) == ""
@@ -169,10 +169,10 @@
     )
 
 
-# Work.
+# Load.
 
 
-def test_own_work_adds_up_until_it_has_come():
+def test_local_load_adds_up_until_it_ends():
     host = StillHost()
     load_tracker = LoadTracker(host=host)
     with load_tracker.streaming(engine="e"), load_tracker.prefilling(engine="e", span=ms(100)):
@@ -186,14 +186,14 @@
     assert load_tracker.summary() == {} and load_tracker.local_loads == {}
 
 
-def test_work_is_given_back_when_the_call_fails():
+def test_load_is_released_when_the_call_fails():
     load_tracker = LoadTracker(host=StillHost())
     with pytest.raises(OSError), load_tracker.prefilling(engine="e", span=ms(100)), load_tracker.streaming(engine="e"):
         raise OSError("broken")
     assert load_tracker.summary() == {} and load_tracker.local_loads == {}
 
 
-def test_the_others_work_is_as_they_last_told_and_lapses():
+def test_peer_load_is_as_last_reported_and_expires():
     host = StillHost()
     load_tracker = LoadTracker(host=host)
     load_tracker.update_peer(daemon="a", works={"e": [300, 2]})
--- a/tests/routes_test.py
+++ b/tests/routes_test.py
@@ -1,4 +1,4 @@
-"""Routes, weights and the adapter's reading of them."""
+"""Routes, service weights, and the platform adapter's parsing."""
 
 import json
 from collections import Counter
@@ -47,37 +47,37 @@
     assert (found.name if found else None) == name
 
 
-def _shares(*, weights: dict[str, int]) -> Route:
+def _weighted_route(*, weights: dict[str, int]) -> Route:
     mix = [{"svc": name, "wt": weight} for name, weight in weights.items()]
     return _table(routes=[route(name="r", prefix="/", kind="idem", mix=mix)]).routes[0]
 
 
-def test_services_are_chosen_by_weight_and_alike_everywhere():
-    one, two = _shares(weights={"desk": 90, "other": 10}), _shares(weights={"desk": 90, "other": 10})
+def test_services_are_chosen_by_weight_and_identically_on_every_daemon():
+    one, two = _weighted_route(weights={"desk": 90, "other": 10}), _weighted_route(weights={"desk": 90, "other": 10})
     names = [f"{place:x}" for place in range(4000)]
     counts = Counter(one.service(request_id=name) for name in names)
     assert 3500 < counts["desk"] < 3700 and counts["desk"] + counts["other"] == 4000
     assert [one.service(request_id=name) for name in names] == [two.service(request_id=name) for name in names]
 
 
-def test_a_share_without_weight_gets_nothing_and_a_split_into_one_service_all():
-    none = _shares(weights={"desk": 0, "other": 1})
+def test_weight_0_gets_no_requests_and_a_repeated_service_gets_all():
+    none = _weighted_route(weights={"desk": 0, "other": 1})
     assert {none.service(request_id=str(place)) for place in range(300)} == {"other"}
     mix = [{"svc": "desk", "wt": 90}, {"svc": "desk", "wt": 10}]
     both = _table(routes=[route(name="r", prefix="/", kind="idem", mix=mix)]).routes[0]
     assert {both.service(request_id=str(place)) for place in range(300)} == {"desk"}
 
 
-def test_fractions_of_a_weight_are_kept_to_or_refused():
+def test_fractional_weights_are_applied_or_rejected():
     try:
-        half = _shares(weights={"desk": 0.5, "other": 0.5})
+        half = _weighted_route(weights={"desk": 0.5, "other": 0.5})
     except BadConfig:
         return
     counts = Counter(half.service(request_id=str(place)) for place in range(1000))
     assert 400 < counts["desk"] < 600, counts
 
 
-def test_what_may_run_more_than_once():
+def test_route_types_map_to_run_rules():
     rows = [
         route(name="idem", prefix="/1/", kind="idem"),
         route(name="mut", prefix="/2/", kind="mut"),
@@ -96,7 +96,7 @@
 
 
 def test_a_route_of_an_unknown_type_is_not_repeated():
-    """Only requests of `idem` routes and streams that may be resumed may run more than once."""
+    """Only `idem` requests and resumable streams may run more than once."""
     try:
         table = _table(routes=[route(name="r", prefix="/", kind="ws", resume=True)])
     except BadConfig:
@@ -131,14 +131,14 @@
     return platform_adapter.PlatformAdapter().parse_list(body=json.dumps(listed).encode())
 
 
-def test_a_page_of_the_list():
+def test_a_page_of_the_engine_list_is_parsed():
     rows, page = _entry()
     assert page == "p-50" and rows[0].leaving and rows[0].engine == "i" and rows[0].zone == "hill"
     assert platform_adapter.PlatformAdapter().list_path(page=None) == "/engines"
     assert platform_adapter.PlatformAdapter().list_path(page=page) == "/engines?pg_tok=p-50"
 
 
-def test_headers_to_an_engine_keep_the_clients_and_replace_those_of_one_hop():
+def test_engine_headers_keep_client_headers_and_replace_hop_by_hop_headers():
     sent = [
         ("Host", "desk.example"),
         ("X-Request-Id", "a"),
@@ -174,7 +174,7 @@
     ]
 
 
-def test_headers_that_connection_names_concern_one_connection_only():
+def test_headers_named_by_connection_are_not_forwarded():
     sent = [("Host", "h"), ("Connection", "close, X-Hop"), ("X-Hop", "1"), ("X-Request-Id", "a")]
     rows = platform_adapter.PlatformAdapter().engine_headers(
         headers=sent, engine=_entry()[0][0], left=timedelta(seconds=1), urgency=1, prefill=False, kv_handle=None,
@@ -195,29 +195,29 @@
         (200, {"X-Seal": "a"}, False, False),
     ],
 )
-def test_only_an_engines_own_word_promises_that_it_did_not_run(status, headers, not_run, other):
-    told = platform_adapter.PlatformAdapter().parse_response(status=status, headers=list(headers.items()))
-    assert (told.not_run, told.other_engine, told.sealed) == (not_run, other, "X-Seal" in headers)
+def test_only_an_explicit_answer_guarantees_that_a_request_did_not_run(status, headers, not_run, other):
+    response = platform_adapter.PlatformAdapter().parse_response(status=status, headers=list(headers.items()))
+    assert (response.not_run, response.other_engine, response.sealed) == (not_run, other, "X-Seal" in headers)
 
 
-def test_what_a_request_says_of_itself():
+def test_request_headers_are_parsed():
     headers = [
         ("X-Request-Id", "a"), ("X-Model", "m"), ("X-Tokens", "1460,80"), ("X-Deadline-Ms", "8000"),
         ("X-Prompt-Prefix", "5c1e07a2:800, 91bd3f06:410,e4402b7d:250"), ("Last-Event-Id", "12"),
     ]  # fmt: skip
-    ask = platform_adapter.PlatformAdapter().parse_request(headers=headers)
-    assert [(part.name, part.tokens) for part in ask.prefix_blocks] == [
+    request = platform_adapter.PlatformAdapter().parse_request(headers=headers)
+    assert [(part.name, part.tokens) for part in request.prefix_blocks] == [
         ("5c1e07a2", 800), ("91bd3f06", 410), ("e4402b7d", 250),
     ]  # fmt: skip
-    assert (ask.tokens_in, ask.tokens_out, ask.last_event) == (1460, 80, "12")
-    assert ask.deadline == timedelta(seconds=8)
+    assert (request.tokens_in, request.tokens_out, request.last_event) == (1460, 80, "12")
+    assert request.deadline == timedelta(seconds=8)
     bare = platform_adapter.PlatformAdapter().parse_request(
         headers=[("X-Request-Id", "a"), ("X-Tokens", "x"), ("X-Deadline-Ms", "soon")]
     )
     assert (bare.tokens_in, bare.prefix_blocks, bare.deadline) == (0, (), None)
 
 
-def test_what_the_adapter_writes_it_reads_back():
+def test_a_rendered_configuration_parses_to_the_same_table():
     table = platform_adapter.PlatformAdapter().parse_config(text=json.dumps(configuration()))
     assert (
         platform_adapter.PlatformAdapter().parse_config(
--- a/tests/settings_file_test.py
+++ b/tests/settings_file_test.py
@@ -1,4 +1,4 @@
-"""The platform's settings lines."""
+"""Parsing and validation of the platform's settings file."""
 
 from datetime import timedelta
 
@@ -15,7 +15,7 @@
     monkeypatch.setenv("DOCKMUX_CONFIG", str(path))
 
 
-def test_lines_are_read_and_unknown_ones_do_no_harm(tmp_path, monkeypatch):
+def test_settings_are_parsed_and_unknown_lines_are_ignored(tmp_path, monkeypatch):
     rows = lines(name="edge-a", zone=0, machine="edge")
     text = "\n".join(["# a comment", "", "not a line", *(f"{name} = {value}" for name, value in rows.items())])
     _write(tmp_path=tmp_path, monkeypatch=monkeypatch, data=text.encode())
@@ -28,14 +28,14 @@
     assert (settings.cores, settings.copies, settings.may_found, settings.data_folder) == (3, 2, True, "")
 
 
-def test_a_core_has_its_control_address_and_its_folder():
+def test_a_core_gets_its_control_address_and_data_folder():
     settings = settings_file.settings(lines=lines(name="core-a", zone=1, machine="core", bootstrap="false"))
     assert (settings.http, settings.data_folder, settings.may_found) == ("10.2.0.1:8166", "/data", False)
     wide = settings_file.settings(lines=lines(name="core-a", zone=1, machine="core", **{"survive.nodes": "2"}))
     assert (wide.cores, wide.copies) == (5, 3)
 
 
-def test_bounds_become_spans():
+def test_bounds_are_converted_to_durations():
     deployment = settings_file.deployment(lines=lines(name="edge-a", zone=0, machine="edge"))
     assert deployment.retry_ratio == 0.2 and deployment.retry_window == timedelta(seconds=10)
     assert deployment.drain == timedelta(seconds=3) and deployment.list_address == "10.200.0.9:8169"
@@ -64,7 +64,7 @@
         ("bounds.grace_s", "inf"),
     ],
 )
-def test_a_bad_line_is_told_on_one_line_that_names_it(name, value):
+def test_an_invalid_setting_is_reported_on_one_line_with_its_name(name, value):
     rows = lines(name="edge-a", zone=0, machine="edge") | {name: value}
     with pytest.raises(BadSetting) as caught:
         settings_file.settings(lines=rows)
@@ -85,7 +85,7 @@
         ("cloud.rate_per_s", "fast"),
     ],
 )
-def test_a_bad_bound_is_told_on_one_line_that_names_it(name, value):
+def test_an_invalid_bound_is_reported_on_one_line_with_its_name(name, value):
     rows = lines(name="edge-a", zone=0, machine="edge") | {name: value}
     with pytest.raises(BadSetting) as caught:
         settings_file.deployment(lines=rows)
@@ -93,7 +93,7 @@
     assert "\n" not in text and text.startswith(name) and "found" in text and "allowed" in text
 
 
-def test_a_file_that_cannot_be_read_is_told_on_one_line(tmp_path, monkeypatch):
+def test_an_unreadable_file_is_reported_on_one_line(tmp_path, monkeypatch):
     monkeypatch.setenv("DOCKMUX_CONFIG", str(tmp_path / "none"))
     with pytest.raises(BadSetting) as caught:
         settings_file.read()
@@ -109,7 +109,7 @@
 @pytest.mark.parametrize(
     ("survive", "copies"), [({"nodes": "2"}, 3), ({"nodes": "0", "zones": "1"}, 2), ({"nodes": "1", "rgns": "2"}, 3)]
 )
-def test_whatever_may_be_lost_at_once_leaves_a_copy_and_a_majority(survive, copies):
+def test_tolerated_failures_leave_a_copy_and_a_majority(survive, copies):
     changed = {f"survive.{what}": count for what, count in {"zones": "0", "rgns": "0", **survive}.items()}
     read = settings_file.settings(lines=lines(name="core-0", zone=0, machine="core", **changed))
     assert (read.copies, read.cores) == (copies, 2 * copies - 1)
--- a/tests/silence_test.py
+++ b/tests/silent_engine_test.py
@@ -1,11 +1,11 @@
-"""An engine that is silent in the middle of its answer."""
+"""An engine that pauses in the middle of its answer."""
 
 from dockmux.runtime.time_units import ms
 from tests.standins.fleet import fleet
 
 
-def test_an_idempotent_answer_under_way_is_not_cut_at_its_engines_silence():
-    """Guards against an answer that is ended sooner because its engine is silent (LOST)."""
+def test_an_idempotent_answer_in_progress_is_not_cut_while_its_engine_pauses():
+    """Guards against an answer that is aborted early because its engine is silent (LOST)."""
     with fleet(seed=71, phases="d") as made:
         made.faults.pause_in_plain = ms(1500)
         tries = []
