--- a/dockmux/platform_proxy/budget.py
+++ b/dockmux/platform_proxy/budget.py
@@ -49,6 +49,7 @@
         return (time - EPOCH) // self.slice_length
 
     def note_request(self, *, service: str, now: timedelta) -> None:
+        """Counts a client request, which the ratio is applied to."""
         self.requests[service].append(now)
         self._prune_and_count(times=self.requests[service], now=now, span=self.deployment.retry_window)
 
--- a/dockmux/platform_proxy/config_tracker.py
+++ b/dockmux/platform_proxy/config_tracker.py
@@ -42,6 +42,7 @@
 
     @property
     def mark(self) -> int:
+        """The mark of the configuration in use, 0 without one."""
         return self.config.mark if self.config else 0
 
     def cores(self) -> list[str]:
--- a/dockmux/platform_proxy/directory.py
+++ b/dockmux/platform_proxy/directory.py
@@ -54,6 +54,7 @@
 
     @property
     def age(self) -> timedelta:
+        """Time since this copy was requested from the platform."""
         return self.host.elapsed() - self.requested_at
 
     def due(self, *, rank: int) -> bool:
@@ -120,4 +121,5 @@
         return True
 
     def to_fields(self) -> list[dict[str, Any]]:
+        """The rows as field mappings for messages."""
         return [dataclasses.asdict(row) for row in self.rows.values()]
--- a/dockmux/platform_proxy/edge.py
+++ b/dockmux/platform_proxy/edge.py
@@ -66,6 +66,7 @@
 
     @contextlib.contextmanager
     def running(self) -> Iterator["Edge"]:
+        """Opens the daemon's sockets and runs its tasks while the context is open."""
         host, settings, deployment = self.host, self.settings, self.deployment
         with (
             host.datagrams(address=settings.address) as port,
@@ -129,6 +130,7 @@
         return self.served.busy + self.leaving.lingers(now=now)
 
     def is_ready(self) -> bool:
+        """Whether the daemon has a configuration and engines, and is not draining."""
         return self.leaving is None and self.config_tracker.table is not None and bool(self.directory.rows)
 
     # HTTP.
@@ -158,6 +160,7 @@
         return exchange.conclude(outcome=Outcome(kind=OutcomeKind.NOT_FOUND, detail={"path": exchange.path}))
 
     def status(self) -> dict[str, object]:
+        """The fields of the status page."""
         return {
             "name": self.settings.name,
             "ready": self.is_ready(),
@@ -172,6 +175,7 @@
     # Exchange with the other daemons, and periodic maintenance.
 
     def edges(self) -> list[PeerCard]:
+        """The live edge daemons, this one excluded."""
         return [card for card in self.peers.standing() if card.role == "edge"]
 
     def daemons(self) -> int:
@@ -179,6 +183,7 @@
         return len(self.edges()) + 1
 
     def run_maintenance(self) -> None:
+        """Processes messages, expires and cancels requests, and reports to the other daemons, without end."""
         sent_at, swept_at, last_summary = -IDLE_REPORT_INTERVAL, ZERO, {}
         while True:
             self.host.sleep(wait=MAINTENANCE_INTERVAL)
@@ -279,6 +284,7 @@
             self.fetching = False
 
     def on_directory(self, *, request: DirectoryAsk) -> DirectoryReply:
+        """Answers a peer with the whole engine list."""
         directory = self.directory
         age_ms = min(to_ms(directory.age), 86_400_000)
         return DirectoryReply(
@@ -295,6 +301,7 @@
                 self.task_group.start(task=self._probe, engine=row)
 
     def _probe(self, *, engine: EngineEntry) -> None:
+        """Runs a health check and records its result."""
         try:
             service = self.config_tracker.table.services.get(engine.service) if self.config_tracker.table else None
             if service is not None and self.engine_client.well(engine=engine, path=service.health_path):
--- a/dockmux/platform_proxy/engine_health.py
+++ b/dockmux/platform_proxy/engine_health.py
@@ -38,6 +38,7 @@
         self.rows: dict[str, HealthObservation] = {}
 
     def is_failing(self, *, engine: str) -> bool:
+        """Whether the engine should get no new requests while there are others."""
         row = self.rows.get(engine)
         if row is None or row.healthy:
             return False
@@ -45,6 +46,7 @@
         return row.is_local or self.host.elapsed() < row.failing_until + PEER_RENEWAL_TIME
 
     def note_failure(self, *, engine: str, why: str) -> None:
+        """Records a failed request or probe, and schedules the next probe."""
         now = self.host.elapsed()
         row = self.rows.get(engine)
         if row is not None and not row.healthy and row.is_local and now < row.failing_until:
@@ -61,6 +63,7 @@
         )
 
     def note_success(self, *, engine: str) -> None:
+        """Records a successful request or probe."""
         row = self.rows.get(engine)
         if row is None or row.healthy:
             return
--- a/dockmux/platform_proxy/operator_api.py
+++ b/dockmux/platform_proxy/operator_api.py
@@ -18,6 +18,7 @@
         self.protocol = protocol
 
     def handle_http(self, exchange: HttpExchange) -> Iterable[bytes]:
+        """Handles the configuration paths; all others are passed on to the control daemon."""
         if exchange.path == self.protocol.put_path:
             if exchange.method != "POST":
                 return exchange.conclude(
--- a/dockmux/platform_proxy/phase_balancer.py
+++ b/dockmux/platform_proxy/phase_balancer.py
@@ -106,6 +106,7 @@
         )
 
     def run(self) -> None:
+        """Follows the load and orders phase changes, without end."""
         self.core.gossip.keeps_works = True
         with Connections(host=self.host) as connections:
             while True:
--- a/dockmux/platform_proxy/placement.py
+++ b/dockmux/platform_proxy/placement.py
@@ -84,6 +84,7 @@
         self.prefill_rates: dict[str, float] = {}
 
     def note_prefill(self, *, service: str, engine: str, prefix_blocks: tuple[PrefixBlock, ...]) -> None:
+        """Records that the engine has the KV cache of these blocks."""
         for block in prefix_blocks:
             self.cached_blocks[(engine, block.name)] = None
             self.cached_blocks.move_to_end((engine, block.name))
--- a/dockmux/platform_proxy/protocol_adapter.py
+++ b/dockmux/platform_proxy/protocol_adapter.py
@@ -100,24 +100,33 @@
     def base_version(self, *, headers: Headers) -> int | None:
         """The version that an operator's change is based on; None if missing or malformed."""
 
-    def parse_request(self, *, headers: Headers) -> RequestMetadata: ...
+    def parse_request(self, *, headers: Headers) -> RequestMetadata:
+        """Parses a client's request headers; missing or malformed values get their defaults."""
 
     def engine_headers(
         self, *, headers: Headers, engine: EngineEntry, left: timedelta, urgency: int, prefill: bool,
         kv_handle: KvHandle | None, last_event: str | None,
-    ) -> list[tuple[str, str]]: ...  # fmt: skip
+    ) -> list[tuple[str, str]]:  # fmt: skip
+        """The headers of a request to an engine: the client's, without hop-by-hop headers, and the proxy's own. `left`
+        is the remaining time."""
 
-    def answer_headers(self, *, headers: Headers) -> list[tuple[str, str]]: ...
+    def answer_headers(self, *, headers: Headers) -> list[tuple[str, str]]:
+        """The headers of an engine's answer that are forwarded to the client."""
 
-    def parse_response(self, *, status: int, headers: Headers) -> ResponseMetadata: ...
+    def parse_response(self, *, status: int, headers: Headers) -> ResponseMetadata:
+        """Parses the status and headers of an engine's answer."""
 
-    def parse_kv_handle(self, *, body: bytes, engine: EngineEntry) -> KvHandle: ...
+    def parse_kv_handle(self, *, body: bytes, engine: EngineEntry) -> KvHandle:
+        """Parses the answer to a prefill; raises ValueError, KeyError or TypeError if it is malformed."""
 
-    def kv_handle_path(self, *, kv_handle: KvHandle) -> str: ...
+    def kv_handle_path(self, *, kv_handle: KvHandle) -> str:
+        """The path for releasing the handle's KV cache."""
 
-    def list_path(self, *, page: str | None) -> str: ...
+    def list_path(self, *, page: str | None) -> str:
+        """The path of a page of the engine list; None is the first page."""
 
-    def parse_list(self, *, body: bytes) -> tuple[list[EngineEntry], str | None]: ...
+    def parse_list(self, *, body: bytes) -> tuple[list[EngineEntry], str | None]:
+        """Parses a page of the engine list: its rows, and the next page or None."""
 
     def render_config(self, *, table: RouteTable) -> str:
         """The inverse of parse_config: the text that an operator would send."""
@@ -125,8 +134,11 @@
     def render_list(self, *, rows: list[EngineEntry], next_page: str | None) -> dict[str, Any]:
         """A page of the engine list that parse_list can parse."""
 
-    def parse_report(self, *, body: bytes) -> EngineReport: ...
+    def parse_report(self, *, body: bytes) -> EngineReport:
+        """Parses an engine's report."""
 
-    def phase_order(self, *, phase: str, owner: str, fence: int) -> bytes: ...
+    def phase_order(self, *, phase: str, owner: str, fence: int) -> bytes:
+        """The body of an order to change an engine's phase."""
 
-    def order_headers(self, *, engine: EngineEntry) -> dict[str, str]: ...
+    def order_headers(self, *, engine: EngineEntry) -> dict[str, str]:
+        """The headers of an order to an engine."""
