--- a/dockmux/__init__.py
+++ b/dockmux/__init__.py
@@ -3,8 +3,8 @@
 import os
 import warnings
 
-# Addresses are IP numbers. The resolver that eventlet would load takes a third of a process's start.
+# All addresses are IP addresses. Loading eventlet's DNS resolver would take a third of a process's start-up time.
 os.environ.setdefault("EVENTLET_NO_GREENDNS", "yes")
 
-# The house builds on eventlet; its advice against new projects is known and weighed in docs/design.md.
+# The choice of eventlet despite its advice against use in new projects is discussed in docs/design.md.
 warnings.filterwarnings("ignore", message=r"\s*Eventlet is deprecated")
--- a/dockmux/clock/gossip.py
+++ b/dockmux/clock/gossip.py
@@ -59,7 +59,7 @@
             self.host.sleep(wait=min(PULSE, self._wait()))
             gap = self.host.elapsed() - now
             if gap > FROZEN:
-                self.host.log(LogEvent.CLOCK_FROZE, gapMs=to_ms(gap))
+                self.host.log(LogEvent.CLOCK_PAUSED, gapMs=to_ms(gap))
                 self.asked.clear()
                 self.clock.distrust()
 
@@ -109,7 +109,7 @@
             arrived = self.host.elapsed()
             try:
                 message = codec.decode(data=unpack(datagram=data))
-            except (codec.Malformed, FrameError) as error:
+            except (codec.MessageFormatError, FrameError) as error:
                 self.host.log(LogEvent.BAD_FRAME, error=error)
                 continue
             if isinstance(message, ClockAsk):
@@ -171,7 +171,7 @@
         joining = not self.clock.synchronized
         used = self.clock.consider(sample=sample)
         if joining and used:
-            self.host.log(LogEvent.CLOCK_JOINED, peer=reply.sender.name, boundMs=to_ms(self.clock.bound()))
+            self.host.log(LogEvent.CLOCK_SYNCHRONIZED, peer=reply.sender.name, boundMs=to_ms(self.clock.bound()))
         elif not joining:
             self.rate.note(offset=sample.offset, used=used)
 
--- a/dockmux/control/chain_replica.py
+++ b/dockmux/control/chain_replica.py
@@ -25,7 +25,7 @@
     WriteReply,
 )  # fmt: skip
 from dockmux.runtime.outcomes import Outcome, OutcomeKind
-from dockmux.runtime.record_log import Unsure
+from dockmux.runtime.record_log import AppendOutcomeUnknown
 from dockmux.runtime.rpc import RpcClient
 from dockmux.runtime.settings_type import Settings
 from dockmux.runtime.time_units import ZERO, instant_us, ms, to_us, us
@@ -232,7 +232,7 @@
                 for write in answered:
                     why = {"why": "what it was judged by could not be stored"}
                     write.done.send(Outcome(kind=OutcomeKind.NO_MAJORITY, detail=why))
-                kind = OutcomeKind.UNKNOWN if isinstance(error, Unsure) else OutcomeKind.DISK_FULL
+                kind = OutcomeKind.UNKNOWN if isinstance(error, AppendOutcomeUnknown) else OutcomeKind.DISK_FULL
                 for write in accepted:
                     write.done.send(Outcome(kind=kind, detail={"why": str(error)}))
                 raise
@@ -271,7 +271,7 @@
             if held is not None:
                 return Outcome(kind=OutcomeKind.CLAIMED, detail={"holder": held})
             if len(planned.claims) >= self.settings.claim_limit:
-                return Outcome(kind=OutcomeKind.BUSY, detail={"why": "claims are full"}, retryMs=60_000)
+                return Outcome(kind=OutcomeKind.BUSY, detail={"why": "claims are full"}, retry_ms=60_000)
         return None
 
     # Passing on.
--- a/dockmux/control/core.py
+++ b/dockmux/control/core.py
@@ -73,7 +73,7 @@
         self.store.open()
         self.peers.card = dataclasses.replace(self.peers.card, disk=self.store.disk)
         with (
-            host.datagrams(address=settings.address) as port,
+            host.open_datagram_socket(address=settings.address) as port,
             host.listen(address=settings.address) as listener,
             host.listen(address=settings.http) as web_listener,
             RpcClient(host=host) as rpc_client,
@@ -107,7 +107,7 @@
             rpc_server = RpcServer(
                 host=host,
                 listener=listener,
-                answers={
+                handlers={
                     FoundAsk: agreement.on_found,
                     PromiseAsk: agreement.on_promise,
                     AcceptAsk: agreement.on_accept,
@@ -137,7 +137,7 @@
         """Has this member leave the chain by agreement; counts what its stop still has to wait for."""
         if not self.agreement.leaving:
             self.agreement.leaving = True
-            self.host.log(LogEvent.LEAVING, mark=self.chain.synced)
+            self.host.log(LogEvent.CORE_LEAVING, mark=self.chain.synced)
         return self.agreement.must_stay() + self.chain.open_writes
 
     # Duties that go with the head, under its permit.
@@ -151,7 +151,7 @@
                 waiting_since = None
                 if clock.hops == 0:
                     clock.follow()
-                    self.host.log(LogEvent.SOURCE_LEFT)
+                    self.host.log(LogEvent.TIME_SOURCE_STOPPED)
                 continue
             mark = self.agreement.view.number
             if clock.hops == 0 and clock.source_mark == mark:
@@ -161,7 +161,7 @@
             if not clock.synchronized and waited < JOIN_PATIENCE and not self.gossip.nobody_has_the_time():
                 continue  # Somebody may still have it: two times under one mark would lie apart.
             clock.lead(mark=mark, not_before=self.chain.planned.latest_time())
-            self.host.log(LogEvent.SOURCE_TAKEN, mark=mark)
+            self.host.log(LogEvent.TIME_SOURCE_STARTED, mark=mark)
 
     # News for data daemons.
 
@@ -214,24 +214,24 @@
     def handle_http(self, exchange: HttpExchange) -> list[bytes]:
         method, path = exchange.method, exchange.path
         if path == "/config" and method == "PUT":
-            return exchange.conclude(outcome=self._put_config(exchange=exchange))
+            return exchange.respond(outcome=self._put_config(exchange=exchange))
         if path == "/engines" and method == "PUT":
-            return exchange.conclude(outcome=self._put_engines(exchange=exchange))
+            return exchange.respond(outcome=self._put_engines(exchange=exchange))
         if path == "/metrics" and method == "GET":
             return metrics.page(exchange=exchange, values=self._values(), outcomes={})
         if path not in ("/config", "/engines", "/status", "/clock", "/history") and not path.startswith(
             ("/config/", "/explain/")
         ):
-            return exchange.conclude(outcome=Outcome(kind=OutcomeKind.NOT_FOUND, detail={"path": path}))
+            return exchange.respond(outcome=Outcome(kind=OutcomeKind.NOT_FOUND, detail={"path": path}))
         if method != "GET":
-            return exchange.conclude(outcome=Outcome(kind=OutcomeKind.BAD_METHOD, detail={"method": method}))
+            return exchange.respond(outcome=Outcome(kind=OutcomeKind.BAD_METHOD, detail={"method": method}))
         if path == "/clock":
             return exchange.reply(status=200, fields=self.gossip.report())
         if path == "/status":
             return exchange.reply(status=200, fields=self.status())
         if not self.chain.confirm():
             why = {"why": "the tail did not confirm under its permit"}
-            return exchange.conclude(outcome=Outcome(kind=OutcomeKind.NO_MAJORITY, detail=why))
+            return exchange.respond(outcome=Outcome(kind=OutcomeKind.NO_MAJORITY, detail=why))
         return self._read(exchange=exchange)
 
     def _read(self, *, exchange: HttpExchange) -> list[bytes]:
@@ -250,21 +250,21 @@
             site = exchange.environ.get("QUERY_STRING", "").removeprefix("site=")
             told = explain(tree=state.config.tree, lane=path[9:], site=site) if state.config else None
             if told is None:
-                return exchange.conclude(outcome=Outcome(kind=OutcomeKind.UNKNOWN_LANE, detail={"lane": path[9:]}))
+                return exchange.respond(outcome=Outcome(kind=OutcomeKind.UNKNOWN_LANE, detail={"lane": path[9:]}))
             return exchange.reply(status=200, fields={"mark": state.config.mark, "lane": path[9:], "values": told})
         wanted = path[8:] or str(state.config.mark)
         for config in state.configs:
             if str(config.mark) == wanted:
                 fields = {"mark": config.mark, "tree": config.tree, "activate": config.activate.isoformat()}
                 return exchange.reply(status=200, fields=fields, headers=[("ETag", f'"{config.mark}"')])
-        return exchange.conclude(outcome=Outcome(kind=OutcomeKind.NOT_FOUND, detail={"mark": wanted}))
+        return exchange.respond(outcome=Outcome(kind=OutcomeKind.NOT_FOUND, detail={"mark": wanted}))
 
     def _body(self, *, exchange: HttpExchange) -> Any:
         if exchange.content_type != "application/json":
             return Outcome(
                 kind=OutcomeKind.BAD_TYPE, detail={"found": exchange.content_type, "allowed": "application/json"}
             )
-        data = exchange.body(limitBytes=self.settings.bodyLimitKb * 1024)
+        data = exchange.body(limit_bytes=self.settings.bodyLimitKb * 1024)
         if data is None:
             return Outcome(kind=OutcomeKind.TOO_LARGE, detail={"limitKb": self.settings.bodyLimitKb})
         try:
--- a/dockmux/control/engine_scheduler.py
+++ b/dockmux/control/engine_scheduler.py
@@ -141,7 +141,7 @@
                 mark = self.agreement.view.number
                 left = self.agreement.lease_until() - asked
                 if not self._in_charge() or left <= ZERO:
-                    stream.whole = True
+                    stream.reusable = True
                     return
                 fields = {
                     "phase": move.phase,
@@ -151,11 +151,11 @@
                 }
                 response = stream.call(method="POST", path="/order", fields=fields)
                 response.read()
-                stream.whole = True
+                stream.reusable = True
         except (OSError, urllib3.exceptions.HTTPError, ValueError, KeyError):
             return
         if response.status == 200:
-            self.host.log(LogEvent.ORDERED, engine=move.engine["engine"], phase=move.phase, mark=mark)
+            self.host.log(LogEvent.PHASE_ORDERED, engine=move.engine["engine"], phase=move.phase, mark=mark)
 
 
 def test_an_engine_is_moved_only_from_a_phase_with_slots_to_spare_to_a_pressed_or_empty_one():
--- a/dockmux/control/joining.py
+++ b/dockmux/control/joining.py
@@ -114,7 +114,7 @@
             self.chain.planned = self.chain.state.copy()
             self.chain.note_learned()
             self.needs_snapshot = self.agreement.outrun = False
-            self.host.log(LogEvent.JOINED, mark=state.mark)
+            self.host.log(LogEvent.CORE_JOINED, mark=state.mark)
 
     def _fetch_snapshot(self, *, address: str) -> State | None:
         """The tail's state, part by part."""
--- a/dockmux/control/program.py
+++ b/dockmux/control/program.py
@@ -16,7 +16,7 @@
         print("pact: bad setting data_folder: found nothing, allowed: a folder", file=sys.stderr)
         return 2
     host = Host(name=settings.name, folder=settings.data_folder)
-    return run(host=host, settings=settings, running=Core(host=host, settings=settings).running())
+    return run(host=host, settings=settings, context=Core(host=host, settings=settings).running())
 
 
 if __name__ == "__main__":
--- a/dockmux/control/replica_store.py
+++ b/dockmux/control/replica_store.py
@@ -46,7 +46,7 @@
         votes = self.votes.load()
         if votes is None or not votes:
             self.disk = f"{self.host.random.getrandbits(64):016x}"
-            self.host.log(LogEvent.DISK_FRESH, disk=self.disk)
+            self.host.log(LogEvent.DISK_INITIALIZED, disk=self.disk)
             self.chain.rewrite(records=({"snapshot": part} for part in self.opened.snapshot().all_parts()))
             self.votes.rewrite(records=[{"disk": self.disk, "may_found": self.may_found}])
             return
@@ -61,9 +61,9 @@
                 self.entries.append(Entry(mark=record["mark"], change=record["change"]))
         if parts != wanted:
             # The chain's file is there, whole, before the votes' is: else it was lost or cut off.
-            self.host.log(LogEvent.DISK_CORRUPT, file="chain", offset=0)
+            self.host.log(LogEvent.RECORD_LOG_CORRUPT, file="chain", offset=0)
             raise RecordLogDamaged(0)
-        self.chain.note_rewritten(records=parts)
+        self.chain.mark_rewritten(records=parts)
         self.base_mark = self.opened.mark
 
     def _recall(self, *, record: dict[str, Any]) -> None:
@@ -72,11 +72,11 @@
         if "may_found" in record:
             self.may_found = record["may_found"]
         if "view" in record:
-            self.view = codec.from_fields(kind=View, fields=record["view"])
+            self.view = codec.from_fields(message_type=View, fields=record["view"])
         if "level" in record:
             self.level = record["level"]
         if "founding" in record:
-            self.founding = codec.from_fields(kind=View, fields=record["founding"])
+            self.founding = codec.from_fields(message_type=View, fields=record["founding"])
         if "promised" in record:
             self.promised = record["promised"]
         if "accepted" in record:
@@ -87,7 +87,7 @@
         record = {k: codec.to_fields(message=v) if isinstance(v, View) else v for k, v in fields.items()}
         self.votes.append(records=[record])
         self._recall(record=record)
-        if self.votes.sizeBytes > max(REWRITE_FROM_BYTES // 16, 4 * self.votes.rewrittenBytes):
+        if self.votes.size_bytes > max(REWRITE_FROM_BYTES // 16, 4 * self.votes.rewritten_bytes):
             try:
                 self._rewrite_votes()
             except OSError as error:
@@ -114,8 +114,8 @@
 
     def shorten(self, *, state: State) -> None:
         """Rewrites the chain's file, when it has grown long, from the state that all agree on."""
-        grown = self.chain.sizeBytes - self.chain.rewrittenBytes
-        if grown > max(REWRITE_FROM_BYTES, self.chain.rewrittenBytes // 2):
+        grown = self.chain.size_bytes - self.chain.rewritten_bytes
+        if grown > max(REWRITE_FROM_BYTES, self.chain.rewritten_bytes // 2):
             self.reset(state=state)
 
     def reset(self, *, state: State) -> None:
--- a/dockmux/control/view_agreement.py
+++ b/dockmux/control/view_agreement.py
@@ -289,7 +289,7 @@
                 level=self._is_level(),
                 accepted_ballot=accepted["ballot"],
                 accepted_proposer=accepted["proposer"],
-                accepted=codec.from_fields(kind=View, fields=accepted["view"]),
+                accepted=codec.from_fields(message_type=View, fields=accepted["view"]),
             )
 
     def _promised(self, *, number: int) -> tuple[int, str]:
@@ -437,7 +437,7 @@
         replies = self._ask_voters(request=request, voters=view.voters, answer=self.on_found, enough=unanimous)
         self._heed(replies=replies)
         if unanimous(replies) and self.view is None:
-            self.host.log(LogEvent.FOUNDED, voters=",".join(view.voters))
+            self.host.log(LogEvent.CONTROL_PLANE_FOUNDED, voters=",".join(view.voters))
             self.learn(view=view)
             self._spread(view=view)
 
@@ -508,7 +508,7 @@
             if stalled and not (dead or joiner) and self.host.elapsed() - self.adopted_at < patience:
                 continue
             for disk in dead:
-                self.host.log(LogEvent.SUSPECTED, disk=disk, silentMs=to_ms(silent[disk]))
+                self.host.log(LogEvent.CORE_SUSPECTED, disk=disk, silentMs=to_ms(silent[disk]))
             voters = self._voters(view=view, joiner=joiner, silent=silent)
             if chain[0] == self.me and not self.store.level:
                 continue
--- a/dockmux/engine_emulator/engine.py
+++ b/dockmux/engine_emulator/engine.py
@@ -99,7 +99,7 @@
         if method == "GET" and path.startswith("/memory/"):
             return self._hand_over(exchange=exchange, token=path[8:])
         if method == "POST" and path in ("/prefill", "/decode", "/order", "/leave"):
-            fields = json.loads(exchange.body(limitBytes=1 << 24) or b"{}")
+            fields = json.loads(exchange.body(limit_bytes=1 << 24) or b"{}")
             answer = {
                 "/prefill": self._prefill, "/decode": self._decode, "/order": self._order, "/leave": self._leave,
             }[path]  # fmt: skip
--- a/dockmux/engine_emulator/program.py
+++ b/dockmux/engine_emulator/program.py
@@ -28,7 +28,7 @@
         host=host, name=parsed.name, service=parsed.service, address=parsed.address, phase=parsed.phase,
         speed=speed, record=parsed.record,
     )  # fmt: skip
-    return run(host=host, settings=settings, running=engine.running())
+    return run(host=host, settings=settings, context=engine.running())
 
 
 if __name__ == "__main__":
--- a/dockmux/native_proxy/edge.py
+++ b/dockmux/native_proxy/edge.py
@@ -60,7 +60,7 @@
     def running(self) -> Iterator["Edge"]:
         host, settings = self.host, self.settings
         with (
-            host.datagrams(address=settings.address) as port,
+            host.open_datagram_socket(address=settings.address) as port,
             host.listen(address=settings.address) as listener,
             host.listen(address=settings.http) as web_listener,
             RpcClient(host=host) as rpc_client,
@@ -82,7 +82,7 @@
                 host=host, settings=settings, gossip=self.gossip, follower=self.follower, spread=self.spread,
                 connection_pool=connection_pool, rpc_client=rpc_client, task_group=task_group, holder=self.holder,
             )  # fmt: skip
-            rpc_server = RpcServer(host=host, listener=listener, answers={NewsAsk: self.follower.on_news})
+            rpc_server = RpcServer(host=host, listener=listener, handlers={NewsAsk: self.follower.on_news})
             for task in (
                 rpc_server.run, self.gossip.run_receiving, self.gossip.run_asking, self.follower.run,
                 self.spread.run, self.table.run,
@@ -102,7 +102,7 @@
     def handle_http(self, exchange: HttpExchange) -> Iterable[bytes]:
         if exchange.path.startswith("/lanes/"):
             if exchange.method != "POST":
-                return exchange.conclude(
+                return exchange.respond(
                     outcome=Outcome(kind=OutcomeKind.BAD_METHOD, detail={"method": exchange.method})
                 )
             return self._lane(exchange=exchange, lane=exchange.path[7:])
@@ -119,19 +119,21 @@
             }
             staged = self.table.stages()
             ends = [end.total_seconds() for end in BUCKETS]
-            spreads = {
-                stage: metrics.Spread(ends=ends, counts=counts, total=staged.total[stage].total_seconds())
+            histograms = {
+                stage: metrics.StageHistogram(
+                    upper_bounds=ends, counts=counts, total=staged.total[stage].total_seconds()
+                )
                 for stage, counts in staged.counts.items()
             }
-            return metrics.page(exchange=exchange, values=values, outcomes=self.table.outcomes(), spreads=spreads)
+            return metrics.page(exchange=exchange, values=values, outcomes=self.table.outcomes(), histograms=histograms)
         if exchange.method == "GET" and exchange.path == "/status":
             return exchange.reply(status=200, fields=self.status())
-        return exchange.conclude(outcome=Outcome(kind=OutcomeKind.NOT_FOUND, detail={"path": exchange.path}))
+        return exchange.respond(outcome=Outcome(kind=OutcomeKind.NOT_FOUND, detail={"path": exchange.path}))
 
     def _lane(self, *, exchange: HttpExchange, lane: str) -> Iterable[bytes]:
         body = self._body(exchange=exchange)
         if isinstance(body, Outcome):
-            return exchange.conclude(outcome=body)
+            return exchange.respond(outcome=body)
         named = exchange.header(name="Idempotency-Key")
         identity = named or f"{self.host.random.getrandbits(128):032x}"
         attempt = exchange.header(name="Dockmux-Attempt")
@@ -145,25 +147,25 @@
         if attempt and not attempt.isdigit():
             wrong.append({"path": "Dockmux-Attempt", "error": "allowed: a whole number, 1 for the first"})
         if wrong:
-            return exchange.conclude(outcome=Outcome(kind=OutcomeKind.BAD_FIELD, detail={"errors": wrong}))
+            return exchange.respond(outcome=Outcome(kind=OutcomeKind.BAD_FIELD, detail={"errors": wrong}))
         config = Outcome(kind=OutcomeKind.DRAINING) if self.draining else self._config()
         if isinstance(config, Outcome):
-            return exchange.conclude(outcome=not_refused(outcome=config) if repeat else config)
+            return exchange.respond(outcome=not_refused(outcome=config) if repeat else config)
         values = resolve(tree=config.tree, lane=lane, site=self.settings.site)
         if values is None:
             gone = Outcome(kind=OutcomeKind.UNKNOWN_LANE, detail={"lane": lane})
             known = any(lane in config.tree["lanes"] for config in self.follower.configs)
-            return exchange.conclude(outcome=not_refused(outcome=gone) if repeat and known else gone)
+            return exchange.respond(outcome=not_refused(outcome=gone) if repeat and known else gone)
         if int(first) and values["run"] != "resumable":
             why = "this lane's streams are not resumable: begin anew"
-            return exchange.conclude(outcome=Outcome(kind=OutcomeKind.CHANGED, detail={"why": why}))
+            return exchange.respond(outcome=Outcome(kind=OutcomeKind.CHANGED, detail={"why": why}))
         record = self._record(
             lane=lane, identity=identity, repeat=repeat, body=body, config=config, values=values, first=int(first),
             resumed=exchange.header(name="Dockmux-Resume-Of"),
         )  # fmt: skip
         if isinstance(record, Outcome):
             told = record if record.kind is OutcomeKind.BAD_IDENTITY or not repeat else not_refused(outcome=record)
-            return exchange.conclude(outcome=told)
+            return exchange.respond(outcome=told)
         attached = bool(exchange.header(name="Dockmux-Attach"))
         return self._stream(exchange=exchange, record=record, first=int(first), attached=attached)
 
@@ -171,7 +173,7 @@
         if exchange.content_type != "application/json":
             allowed = {"found": exchange.content_type, "allowed": "application/json"}
             return Outcome(kind=OutcomeKind.BAD_TYPE, detail=allowed)
-        data = exchange.body(limitBytes=self.settings.bodyLimitKb * 1024)
+        data = exchange.body(limit_bytes=self.settings.bodyLimitKb * 1024)
         if data is None:
             return Outcome(kind=OutcomeKind.TOO_LARGE, detail={"limitKb": self.settings.bodyLimitKb})
         try:
@@ -265,12 +267,12 @@
                 if record.outcome is not None:
                     break
                 record.news.wait(wait=LOOK_AT_CLIENT)
-                if self.host.closed(socks=[exchange.connection]):
+                if self.host.closed_by_peer(socks=[exchange.connection]):
                     raise UserAgentLeft("its user agent has closed the connection")
             if record.outcome.kind is OutcomeKind.CLAIMED:
                 yield from self._attach(exchange=exchange, record=record, first=first, attached=attached)
             elif not begun and record.outcome.kind is not OutcomeKind.ANSWERED:
-                yield from exchange.conclude(outcome=record.outcome)
+                yield from exchange.respond(outcome=record.outcome)
             else:
                 if not begun:
                     self._begin(exchange=exchange, record=record)
@@ -289,7 +291,7 @@
         if outcome.kind is OutcomeKind.ANSWERED:
             told |= {"complete": True, "first": first, "digest": record.digest(first=first)}
         else:
-            told |= {"complete": False, "retryMs": outcome.retryMs, **outcome.detail}
+            told |= {"complete": False, "retryMs": outcome.retry_ms, **outcome.detail}
         return json.dumps(told).encode() + b"\n"
 
     def _attach(self, *, exchange: HttpExchange, record: RequestRecord, first: int, attached: bool) -> Iterator[bytes]:
@@ -299,7 +301,7 @@
         unknown = Outcome(kind=OutcomeKind.UNKNOWN, detail=TAKEN_BEFORE)
         address = holder.partition(" ")[0]
         if attached or holder == self.holder or address == self.settings.http:
-            yield from exchange.conclude(outcome=unknown)
+            yield from exchange.respond(outcome=unknown)
             return
         begun = False
         try:
@@ -312,7 +314,7 @@
                     told = json.loads(response.read())
                     kind = OutcomeKind(told.pop("outcome"))
                     outcome = Outcome(kind=kind, detail=told) if kind in ATTACH_KINDS else unknown
-                    yield from exchange.conclude(outcome=outcome)
+                    yield from exchange.respond(outcome=outcome)
                     return
                 for line in response:
                     if not begun:
@@ -322,7 +324,7 @@
         except (OSError, urllib3.exceptions.HTTPError, ValueError, KeyError):
             if begun:
                 raise  # The stream breaks off without its last line.
-            yield from exchange.conclude(outcome=unknown)
+            yield from exchange.respond(outcome=unknown)
 
     def status(self) -> dict[str, Any]:
         config = self.follower.current()
--- a/dockmux/native_proxy/follower.py
+++ b/dockmux/native_proxy/follower.py
@@ -127,7 +127,7 @@
             held = min(ms(heldMs), self.lease) if newest else ZERO
             self.usable[config.mark] = self.host.elapsed() + self.lease - held
             self.configs.append(config)
-            self.host.log(LogEvent.MARK_LEARNED, mark=config.mark, activate=config.activate.isoformat())
+            self.host.log(LogEvent.CONFIG_RECEIVED, mark=config.mark, activate=config.activate.isoformat())
         self.configs.sort(key=lambda config: config.mark)
         for config in self.configs[:-CONFIGS_KEPT]:
             del self.usable[config.mark]
@@ -140,7 +140,7 @@
         has = self.permitted()
         if has != self.had:
             self.had = has
-            self.host.log(LogEvent.PERMISSION_BACK if has else LogEvent.PERMISSION_LOST)
+            self.host.log(LogEvent.PERMISSION_RESTORED if has else LogEvent.PERMISSION_LOST)
 
     def on_news(self, *, request: NewsAsk) -> NewsReply:
         """For a daemon that reaches no core: what this one knows, with its age."""
--- a/dockmux/native_proxy/legs.py
+++ b/dockmux/native_proxy/legs.py
@@ -56,7 +56,7 @@
             with time_limit(wait=left):
                 response = self._ask(record=record, stream=stream, path="/prefill", fields=fields)
                 told = json.loads(response.read())
-                stream.whole = True
+                stream.reusable = True
             self._refused(response=response, told=told)
             memory = told["memory"]
             if self._wanted(record=record, stream=stream) != {k: memory[k] for k in WANTED}:
@@ -87,10 +87,10 @@
                 response = self._ask(record=record, stream=stream, path="/decode", fields=fields)
                 if response.status != 200:
                     told = json.loads(response.read())
-                    stream.whole = True
+                    stream.reusable = True
                     self._refused(response=response, told=told)
                 self._relay(record=record, response=response, start=start)
-                stream.whole = True
+                stream.reusable = True
 
     def _relay(self, *, record: RequestRecord, response: Any, start: int) -> None:
         """Invariant: nothing is relayed before the engine has echoed the memory's tag."""
@@ -139,7 +139,7 @@
             "adapter": record.values["adapter"],
             "prefix_digest": record.prefix_digest,
             "run": record.values["run"],
-            "untilUs": stream.identity["nowUs"] + to_us(self.follower.valid_until() - stream.named_at),
+            "untilUs": stream.identity["nowUs"] + to_us(self.follower.valid_until() - stream.identified_at),
             "horizonMs": to_ms(max(left, ZERO)),
             **fields,
         }
@@ -168,7 +168,7 @@
         except OSError as error:
             raise NotSent(str(error)) from None
         if not self.legs.may_send(record=self.record, engine=self.engine, leg=self.leg):
-            stream.whole = True
+            stream.reusable = True
             self.opened.__exit__(None, None, None)
             raise NotSent("not allowed any more")
         clock = self.legs.clock
--- a/dockmux/native_proxy/program.py
+++ b/dockmux/native_proxy/program.py
@@ -13,7 +13,7 @@
     parser = argparse.ArgumentParser(prog="verge", description="Data daemon of dockmux, on an edge machine.")
     settings = read_or_exit(parser=parser, argv=argv)
     host = Host(name=settings.name)
-    return run(host=host, settings=settings, running=Edge(host=host, settings=settings).running())
+    return run(host=host, settings=settings, context=Edge(host=host, settings=settings).running())
 
 
 if __name__ == "__main__":
--- a/dockmux/native_proxy/request_record.py
+++ b/dockmux/native_proxy/request_record.py
@@ -104,7 +104,7 @@
         if self.outcome is not None:
             return
         if self.sent and outcome.http_mapping.refusal:
-            outcome = Outcome(kind=OutcomeKind.FAILED, detail=outcome.detail, retryMs=outcome.retryMs)
+            outcome = Outcome(kind=OutcomeKind.FAILED, detail=outcome.detail, retry_ms=outcome.retry_ms)
         elif self.repeat and not self.claimed and outcome.kind is not OutcomeKind.CLAIMED:
             outcome = not_refused(outcome=outcome)
         self.outcome = outcome
@@ -133,7 +133,7 @@
     if not outcome.http_mapping.refusal:
         return outcome
     why = {"why": outcome.kind.value, **outcome.detail, "again": "it may have run before; ask again as the same"}
-    return Outcome(kind=OutcomeKind.UNKNOWN, detail=why, retryMs=outcome.retryMs)
+    return Outcome(kind=OutcomeKind.UNKNOWN, detail=why, retry_ms=outcome.retry_ms)
 
 
 def test_once_sent_a_record_never_ends_in_a_refusal_and_ends_once():
--- a/dockmux/native_proxy/table.py
+++ b/dockmux/native_proxy/table.py
@@ -81,7 +81,7 @@
 
     def end(self, *, record: RequestRecord, kind: OutcomeKind, retryMs: int = 1000, **detail: Any) -> None:
         if record.outcome is None:
-            record.end(outcome=Outcome(kind=kind, detail=detail, retryMs=retryMs), at=self.host.elapsed())
+            record.end(outcome=Outcome(kind=kind, detail=detail, retry_ms=retryMs), at=self.host.elapsed())
             self.open -= 1
             self.journal.append(event=Concluded(kind=record.outcome.kind))
 
--- a/dockmux/platform_proxy/connections.py
+++ b/dockmux/platform_proxy/connections.py
@@ -52,7 +52,7 @@
         """A connection, for the request that is named; NoConnection while none can be had. It is kept when its user
         says that its answer was `whole` and until when it may be kept."""
         stream = self._idle(engine=engine, request_id=request_id) or self._fresh(engine=engine, address=address)
-        stream.last_request = request_id
+        stream.last_request_id = request_id
         self.busy[engine] = self.busy.get(engine, 0) + 1
         try:
             yield stream
@@ -60,31 +60,31 @@
             self.busy[engine] -= 1
             if not self.busy[engine]:
                 del self.busy[engine]
-            if stream.whole and stream.keep_until > self.host.elapsed():
+            if stream.reusable and stream.keep_until > self.host.elapsed():
                 self.idle.setdefault(engine, []).append(stream)
             else:
                 stream.close()
 
     def note_whole(self, *, stream: HttpClientConnection, keep: timedelta | None, closing: bool) -> None:
         """The answer was read to its end."""
-        stream.whole = not closing and not stream.has_surplus
+        stream.reusable = not closing and not stream.has_surplus
         stream.keep_until = self.host.elapsed() + (KEEP_UNSTATED if keep is None else max(keep - KEEP_MARGIN, keep / 3))
 
     def _idle(self, *, engine: str, request_id: str) -> HttpClientConnection | None:
         kept = self.idle.get(engine, [])
         for place in reversed(range(len(kept))):
-            if request_id and kept[place].last_request == request_id:
+            if request_id and kept[place].last_request_id == request_id:
                 # A late second answer to the request's last send would pass for the answer to this one.
                 continue
             stream = kept.pop(place)
             if stream.keep_until > self.host.elapsed() and stream.is_connected:
-                stream.whole = False
+                stream.reusable = False
                 return stream
             stream.close()
         return None
 
     def _fresh(self, *, engine: str, address: str) -> HttpClientConnection:
-        stream = HttpClientConnection(host=self.host, address=address, wait=CONNECT_LIMIT, unacked=UNACKED_LIMIT)
+        stream = HttpClientConnection(host=self.host, address=address, wait=CONNECT_LIMIT, user_timeout=UNACKED_LIMIT)
         try:
             with time_limit(wait=CONNECT_LIMIT):
                 stream.connect()
--- a/dockmux/platform_proxy/edge.py
+++ b/dockmux/platform_proxy/edge.py
@@ -66,7 +66,7 @@
     def running(self) -> Iterator["Edge"]:
         host, settings, deployment = self.host, self.settings, self.deployment
         with (
-            host.datagrams(address=settings.address) as port,
+            host.open_datagram_socket(address=settings.address) as port,
             host.listen(address=settings.address) as listener,
             host.listen(address=deployment.front) as front,
             host.listen(address=deployment.ready) as ready,
@@ -98,7 +98,7 @@
             rpc_server = RpcServer(
                 host=host,
                 listener=listener,
-                answers={NewsAsk: self.tracker.on_news, DirectoryAsk: self.on_directory},
+                handlers={NewsAsk: self.tracker.on_news, DirectoryAsk: self.on_directory},
             )
             for task in (
                 rpc_server.run, self.gossip.run_receiving, self.gossip.run_asking, self.tracker.run, self.run_passes,
@@ -135,7 +135,7 @@
         if exchange.path == self.protocol.ready_path:
             if self.is_ready():
                 return exchange.reply(status=200, fields={"ready": True})
-            return exchange.conclude(outcome=Outcome(kind=OutcomeKind.NOT_READY, detail={"why": "see /status"}))
+            return exchange.respond(outcome=Outcome(kind=OutcomeKind.NOT_READY, detail={"why": "see /status"}))
         if exchange.path == "/metrics":
             values = {
                 "open": self.table.open,
@@ -150,7 +150,7 @@
             return metrics.page(exchange=exchange, values=values, outcomes=self.table.outcomes())
         if exchange.path == "/status":
             return exchange.reply(status=200, fields=self.status())
-        return exchange.conclude(outcome=Outcome(kind=OutcomeKind.NOT_FOUND, detail={"path": exchange.path}))
+        return exchange.respond(outcome=Outcome(kind=OutcomeKind.NOT_FOUND, detail={"path": exchange.path}))
 
     def status(self) -> dict[str, object]:
         return {
@@ -203,7 +203,9 @@
         """Clients have the times and sizes of the configuration in force."""
         if self.tracker.table is not None:
             limits = self.tracker.table.limits
-            self.served.limits = HeadLimits(size_bytes=limits.header_bytes, span=limits.header, idle=limits.idle)
+            self.served.limits = HeadLimits(
+                size_bytes=limits.header_bytes, read_timeout=limits.header, idle_timeout=limits.idle
+            )
 
     def _hear(self) -> None:
         self.gossip.summaries.clear()
--- a/dockmux/platform_proxy/engine_client.py
+++ b/dockmux/platform_proxy/engine_client.py
@@ -148,7 +148,7 @@
             return TurnedAway(why=f"turned away with {response.status}", other_engine=told.other_engine)
         if spoiled:
             self.host.log(
-                LogEvent.ANSWER_SPOILED, engine=engine.engine, request=record.metadata.request_id, why=spoiled
+                LogEvent.RESPONSE_INVALID, engine=engine.engine, request=record.metadata.request_id, why=spoiled
             )
             return Broken(why=spoiled)
         return answer
--- a/dockmux/platform_proxy/operator_api.py
+++ b/dockmux/platform_proxy/operator_api.py
@@ -20,17 +20,17 @@
     def handle_http(self, exchange: HttpExchange) -> Iterable[bytes]:
         if exchange.path == self.protocol.put_path:
             if exchange.method != "POST":
-                return exchange.conclude(
+                return exchange.respond(
                     outcome=Outcome(kind=OutcomeKind.BAD_METHOD, detail={"method": exchange.method})
                 )
-            return exchange.conclude(outcome=self._put(exchange=exchange))
+            return exchange.respond(outcome=self._put(exchange=exchange))
         if exchange.path == self.protocol.get_path:
             return self._get(exchange=exchange)
         return self.core.handle_http(exchange)
 
     def _put(self, *, exchange: HttpExchange) -> Outcome:
         limitBytes = self.core.settings.bodyLimitKb * 1024
-        data = exchange.body(limitBytes=limitBytes)
+        data = exchange.body(limit_bytes=limitBytes)
         if data is None:
             return Outcome(kind=OutcomeKind.TOO_LARGE, detail={"limitKb": limitBytes // 1024})
         based_on = self.protocol.base_version(headers=exchange.headers)
@@ -48,12 +48,10 @@
         """The newest acknowledged configuration, as it was sent."""
         if not self.core.chain.confirm():
             why = {"why": "the tail did not confirm under its permit"}
-            return exchange.conclude(outcome=Outcome(kind=OutcomeKind.NO_MAJORITY, detail=why))
+            return exchange.respond(outcome=Outcome(kind=OutcomeKind.NO_MAJORITY, detail=why))
         config = self.core.chain.state.config
         if config is None:
-            return exchange.conclude(
-                outcome=Outcome(kind=OutcomeKind.NOT_READY, detail={"why": "no configuration yet"})
-            )
+            return exchange.respond(outcome=Outcome(kind=OutcomeKind.NOT_READY, detail={"why": "no configuration yet"}))
         data = config.tree["text"].encode()
         headers = [("Content-Type", "application/json"), ("Content-Length", str(len(data)))]
         exchange.begin(status=200, headers=headers)
--- a/dockmux/platform_proxy/phase_balancer.py
+++ b/dockmux/platform_proxy/phase_balancer.py
@@ -202,12 +202,12 @@
                 status = response.status
                 connections.note_whole(stream=stream, keep=None, closing=True)
         except WIRE_ERRORS as error:
-            self.host.log(LogEvent.ORDER_FAILED, engine=engine.engine, phase=phase, why=error)
+            self.host.log(LogEvent.PHASE_ORDER_FAILED, engine=engine.engine, phase=phase, why=error)
         if status in (200, 202):
             self.changing[engine.engine] = (phase, self.host.elapsed() + CHANGING)
-            self.host.log(LogEvent.ORDERED, engine=engine.engine, phase=phase, mark=fence)
+            self.host.log(LogEvent.PHASE_ORDERED, engine=engine.engine, phase=phase, mark=fence)
         elif status:
-            self.host.log(LogEvent.ORDER_FAILED, engine=engine.engine, phase=phase, why=f"answered {status}")
+            self.host.log(LogEvent.PHASE_ORDER_FAILED, engine=engine.engine, phase=phase, why=f"answered {status}")
             self._tell(engine=engine, phase=engine.phase, left=ZERO)
 
     def _tell(self, *, engine: EngineEntry, phase: str, left: timedelta) -> None:
--- a/dockmux/platform_proxy/request_record.py
+++ b/dockmux/platform_proxy/request_record.py
@@ -69,7 +69,7 @@
 def note_left(*, host: Host, records: Collection[RequestRecord]) -> list[RequestRecord]:
     """Marks the requests whose clients have closed their connections since the last look, and gives these."""
     by_client = {record.client: record for record in records if record.client is not None and not record.left}
-    left = [by_client[sock] for sock in host.closed(socks=by_client)] if by_client else []
+    left = [by_client[sock] for sock in host.closed_by_peer(socks=by_client)] if by_client else []
     for record in left:
         record.left = True
     return left
--- a/dockmux/platform_proxy/table.py
+++ b/dockmux/platform_proxy/table.py
@@ -103,7 +103,7 @@
     def _cancel_call(self, *, record: RequestRecord) -> None:
         """Wakes the task that waits on the connection; it finds the connection ended."""
         if record.wire is not None:
-            record.wire.cut()
+            record.wire.abort()
 
     # Admission.
 
@@ -118,7 +118,7 @@
         metadata = self.protocol.parse_request(headers=exchange.headers)
         if not metadata.request_id:
             return self._refuse(exchange=exchange, kind=OutcomeKind.BAD_FIELD, why="the request has no id")
-        body = exchange.body(limitBytes=table.limits.body_bytes)
+        body = exchange.body(limit_bytes=table.limits.body_bytes)
         if body is None:
             return self._refuse(exchange=exchange, kind=OutcomeKind.TOO_LARGE, why="the body is over the limit")
         now = self.host.elapsed()
@@ -139,8 +139,8 @@
 
     def _refuse(self, *, exchange: HttpExchange, kind: OutcomeKind, why: str) -> list[bytes]:
         self.journal.append(event=Concluded(kind=kind))
-        outcome = Outcome(kind=kind, detail={"why": why}, retryMs=to_ms(RETRY))
-        return exchange.conclude(outcome=outcome, fractions=True)
+        outcome = Outcome(kind=kind, detail={"why": why}, retry_ms=to_ms(RETRY))
+        return exchange.respond(outcome=outcome, fractional_seconds=True)
 
     # From admission to the end.
 
@@ -166,5 +166,5 @@
             return []
         if ending.cut:
             raise CutAnswer(ending.why)
-        outcome = Outcome(kind=ending.kind, detail={"why": ending.why}, retryMs=to_ms(ending.retry))
-        return exchange.conclude(outcome=outcome, fractions=True)
+        outcome = Outcome(kind=ending.kind, detail={"why": ending.why}, retry_ms=to_ms(ending.retry))
+        return exchange.respond(outcome=outcome, fractional_seconds=True)
--- a/dockmux/platform_proxy/tracker.py
+++ b/dockmux/platform_proxy/tracker.py
@@ -97,7 +97,7 @@
         if config.mark <= self.mark or "text" not in config.tree:
             return
         self.config, self.table = config, self.protocol.parse_config(text=config.tree["text"])
-        self.host.log(LogEvent.VERSION_IN_USE, version=config.version)
+        self.host.log(LogEvent.CONFIG_IN_USE, version=config.version)
         self.learned.notify_all()
 
     def ask_peer(self, *, address: str) -> None:
--- a/dockmux/platform_proxy/verdicts.py
+++ b/dockmux/platform_proxy/verdicts.py
@@ -60,7 +60,7 @@
         if row is None or row.well:
             return
         now = self.host.elapsed()
-        self.host.log(LogEvent.ENGINE_WELL, engine=engine)
+        self.host.log(LogEvent.ENGINE_RECOVERED, engine=engine)
         self.rows[engine] = Verdict(well=True, seen_at=now, until=now, fails=0, mine=True)
 
     def to_look_at(self) -> list[str]:
--- a/dockmux/runtime/__init__.py
+++ b/dockmux/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What every part agrees on: schema, settings, kinds, log catalogue, frames, disk, host seam."""
+"""Shared by all packages: message schema, settings, outcomes, log events, framing, storage and the Host interface."""
--- a/dockmux/runtime/codec.py
+++ b/dockmux/runtime/codec.py
@@ -1,4 +1,4 @@
-"""Messages to JSON and back: the generated dataclasses, told apart by a type name."""
+"""Encodes the generated message dataclasses as JSON and back; the class name is the value of "type"."""
 
 import dataclasses
 import json
@@ -10,101 +10,112 @@
 from dockmux.runtime import messages
 
 
-class Malformed(ValueError):
-    """What was read is not a message of the schema."""
+class MessageFormatError(ValueError):
+    """The data is not a message of the schema."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _Slot:
-    """One field of a message, worked out once: its JSON type, or the message type that it holds."""
+class _FieldSpec:
+    """One field of a message class: its JSON type and, for nested messages, their class. Computed once per class."""
 
     name: str
-    needed: bool
-    wanted: type
-    inner: type | None
-    listed: bool
+    required: bool
+    json_type: type
+    message_type: type | None
+    is_list: bool
     optional: bool
 
 
 @cache
-def _slots(kind: type) -> tuple[_Slot, ...]:
-    hints = typing.get_type_hints(kind)
-    slots = []
-    for field in dataclasses.fields(kind):
+def _field_specs(message_type: type) -> tuple[_FieldSpec, ...]:
+    hints = typing.get_type_hints(message_type)
+    specs = []
+    for field in dataclasses.fields(message_type):
         hint = hints[field.name]
         optional = typing.get_origin(hint) in (typing.Union, stdlib_types.UnionType)
         if optional:
             hint = next(a for a in typing.get_args(hint) if a is not type(None))
-        listed = typing.get_origin(hint) is list
-        inner = typing.get_args(hint)[0] if listed else hint
-        inner_kind = inner if dataclasses.is_dataclass(inner) else None
-        no_default = field.default is dataclasses.MISSING and field.default_factory is dataclasses.MISSING
-        wanted = list if listed else dict if inner_kind else typing.get_origin(hint) or hint
-        slots.append(
-            _Slot(name=field.name, needed=no_default, wanted=wanted, inner=inner_kind, listed=listed, optional=optional)
+        is_list = typing.get_origin(hint) is list
+        item_type = typing.get_args(hint)[0] if is_list else hint
+        nested_type = item_type if dataclasses.is_dataclass(item_type) else None
+        required = field.default is dataclasses.MISSING and field.default_factory is dataclasses.MISSING
+        json_type = list if is_list else dict if nested_type else typing.get_origin(hint) or hint
+        specs.append(
+            _FieldSpec(
+                name=field.name,
+                required=required,
+                json_type=json_type,
+                message_type=nested_type,
+                is_list=is_list,
+                optional=optional,
+            )
         )
-    return tuple(slots)
+    return tuple(specs)
 
 
-def from_fields(*, kind: type, fields: Any) -> Any:
+def from_fields(*, message_type: type, fields: Any) -> Any:
+    """A message from its JSON object. Unknown keys are ignored; raises MessageFormatError."""
     if not isinstance(fields, dict):
-        raise Malformed(f"expected an object for {kind.__name__}")
+        raise MessageFormatError(f"expected an object for {message_type.__name__}")
     known = {}
-    for slot in _slots(kind):
-        if slot.name not in fields:
-            if slot.needed:
-                raise Malformed(f"{kind.__name__} lacks {slot.name}")
+    for spec in _field_specs(message_type):
+        if spec.name not in fields:
+            if spec.required:
+                raise MessageFormatError(f"{message_type.__name__} lacks {spec.name}")
             continue
-        value = fields[slot.name]
-        if value is None and slot.optional:
-            known[slot.name] = None
+        value = fields[spec.name]
+        if value is None and spec.optional:
+            known[spec.name] = None
             continue
-        if not isinstance(value, slot.wanted) or (value.__class__ is bool and slot.wanted is int):
-            raise Malformed(f"expected {slot.wanted.__name__}, found {type(value).__name__}")
-        if slot.inner is not None:
-            if slot.listed:
-                value = [from_fields(kind=slot.inner, fields=item) for item in value]
+        if not isinstance(value, spec.json_type) or (value.__class__ is bool and spec.json_type is int):
+            raise MessageFormatError(f"expected {spec.json_type.__name__}, found {type(value).__name__}")
+        if spec.message_type is not None:
+            if spec.is_list:
+                value = [from_fields(message_type=spec.message_type, fields=item) for item in value]
             else:
-                value = from_fields(kind=slot.inner, fields=value)
-        known[slot.name] = value
-    return kind(**known)
+                value = from_fields(message_type=spec.message_type, fields=value)
+        known[spec.name] = value
+    return message_type(**known)
 
 
 def to_fields(*, message: Any) -> dict[str, Any]:
+    """A message as a JSON object, without its type."""
     fields = {}
-    for slot in _slots(type(message)):
-        value = getattr(message, slot.name)
-        if slot.inner is not None and value is not None:
-            value = [to_fields(message=item) for item in value] if slot.listed else to_fields(message=value)
-        fields[slot.name] = value
+    for spec in _field_specs(type(message)):
+        value = getattr(message, spec.name)
+        if spec.message_type is not None and value is not None:
+            value = [to_fields(message=item) for item in value] if spec.is_list else to_fields(message=value)
+        fields[spec.name] = value
     return fields
 
 
 def encode(*, message: Any) -> bytes:
-    packed = {"type": type(message).__name__, **to_fields(message=message)}
-    return json.dumps(packed, separators=(",", ":")).encode()
+    """A message as JSON text, with its type."""
+    fields_with_type = {"type": type(message).__name__, **to_fields(message=message)}
+    return json.dumps(fields_with_type, separators=(",", ":")).encode()
 
 
 def decode(*, data: bytes) -> Any:
+    """A message from JSON text; raises MessageFormatError."""
     try:
-        packed = json.loads(data)
+        fields_with_type = json.loads(data)
     except ValueError as error:
-        raise Malformed(f"not JSON: {error}") from None
-    if not isinstance(packed, dict):
-        raise Malformed("expected an object")
-    kind = getattr(messages, str(packed.get("type")), None)
-    if not dataclasses.is_dataclass(kind):
-        raise Malformed(f"unknown type {packed.get('type')!r}")
-    return from_fields(kind=kind, fields=packed)
+        raise MessageFormatError(f"not JSON: {error}") from None
+    if not isinstance(fields_with_type, dict):
+        raise MessageFormatError("expected an object")
+    message_type = getattr(messages, str(fields_with_type.get("type")), None)
+    if not dataclasses.is_dataclass(message_type):
+        raise MessageFormatError(f"unknown type {fields_with_type.get('type')!r}")
+    return from_fields(message_type=message_type, fields=fields_with_type)
 
 
-def test_a_message_survives_the_round_trip_and_a_broken_one_is_named():
+def test_a_message_survives_the_round_trip_and_malformed_ones_are_reported():
     card = messages.PeerCard(
         name="a", role="core", site="s", address="127.0.0.1:1", http="127.0.0.1:2", incarnation="i", ageMs=3
     )
     request = messages.NewsAsk(mark=4, holdMs=5, sender=card)
     assert decode(data=encode(message=request)) == request
-    found = []
+    reported = []
     for data in (
         b"no",
         b"[]",
@@ -114,9 +125,9 @@
     ):
         try:
             decode(data=data)
-        except Malformed as error:
-            found.append(str(error))
-    assert found[1:] == [
+        except MessageFormatError as error:
+            reported.append(str(error))
+    assert reported[1:] == [
         "expected an object",
         "unknown type 'Any'",
         "NewsAsk lacks holdMs",
--- a/dockmux/runtime/complete_line_reader.py
+++ b/dockmux/runtime/complete_line_reader.py
@@ -1,39 +1,39 @@
-"""Reading lines of HTTP from a connection that may end at any byte."""
+"""Reads lines of HTTP from a connection that may end at any byte."""
 
 import io
 from typing import Any
 
 
-def _nothing_more(_buffer: Any) -> int:
-    """In place of a raw reader's `readinto`: its end."""
+def _read_end_of_stream(_buffer: Any) -> int:
+    """Replaces a raw reader's `readinto` and reports end of stream."""
     return 0
 
 
 class HeadTooLarge(Exception):
-    """The lines of a request's head are longer than is allowed."""
+    """The lines of a request's head exceed the size limit."""
 
 
 class CompleteLineReader(io.BufferedReader):
-    """The reading side of a connection. Invariants: a line is given out only with its end: of one that the
-    connection's end cuts short it is not known what it was to say; while `left` is a number, lines together have no
-    more bytes than that."""
+    """The reading side of a connection. Invariants: a line is returned only with its line end, since the meaning of a
+    truncated line is unknown; while `remaining_bytes` is a number, it limits the total size of the lines still read."""
 
-    left: int | None = None
+    remaining_bytes: int | None = None
 
     def readline(self, size: int | None = -1) -> bytes:
-        if self.left is not None:
-            size = self.left + 1 if size is None or size < 0 else min(size, self.left + 1)
+        """Raises HeadTooLarge beyond `remaining_bytes`, and ConnectionResetError for a truncated line."""
+        if self.remaining_bytes is not None:
+            size = self.remaining_bytes + 1 if size is None or size < 0 else min(size, self.remaining_bytes + 1)
         line = super().readline(size)
-        if self.left is not None:
-            self.left -= len(line)
-            if self.left < 0:
+        if self.remaining_bytes is not None:
+            self.remaining_bytes -= len(line)
+            if self.remaining_bytes < 0:
                 raise HeadTooLarge
         limited = size is not None and 0 <= size <= len(line)
         if not line.endswith(b"\n") and not limited:
-            raise ConnectionResetError("the connection ended before its next line did")
+            raise ConnectionResetError("the connection ended within a line")
         return line
 
     def holds_more(self) -> bool:
-        """Whether something was received and not read; nothing more is received from here on."""
-        self.raw.readinto = _nothing_more
+        """Whether received data is still unread. The connection is not read any further after this call."""
+        self.raw.readinto = _read_end_of_stream
         return bool(self.peek(1))
--- a/dockmux/runtime/condition.py
+++ b/dockmux/runtime/condition.py
@@ -1,4 +1,4 @@
-"""Wakes whoever waits, in the order in which they came."""
+"""A condition variable that wakes its waiters in the order of their arrival."""
 
 from datetime import timedelta
 
@@ -6,21 +6,21 @@
 
 
 class Condition:
-    """Invariant: `waiting` holds one closed gate for each task that waits now; a ring opens all of them."""
+    """Invariant: `waiters` holds one unreleased semaphore for each waiting task; `notify_all` releases all of them."""
 
     def __init__(self) -> None:
-        self.waiting: list[Semaphore] = []
+        self.waiters: list[Semaphore] = []
 
     def notify_all(self) -> None:
-        waiting, self.waiting = self.waiting, []
-        for gate in waiting:
-            gate.release()
+        waiters, self.waiters = self.waiters, []
+        for semaphore in waiters:
+            semaphore.release()
 
     def wait(self, *, wait: timedelta) -> bool:
-        """Whether it rang within the time."""
-        gate = Semaphore(0)
-        self.waiting.append(gate)
-        rang = bool(gate.acquire(timeout=max(wait.total_seconds(), 0)))
-        if not rang and gate in self.waiting:
-            self.waiting.remove(gate)
-        return rang
+        """Waits up to `wait`; returns whether it was notified."""
+        semaphore = Semaphore(0)
+        self.waiters.append(semaphore)
+        notified = bool(semaphore.acquire(timeout=max(wait.total_seconds(), 0)))
+        if not notified and semaphore in self.waiters:
+            self.waiters.remove(semaphore)
+        return notified
--- a/dockmux/runtime/config.py
+++ b/dockmux/runtime/config.py
@@ -1,4 +1,4 @@
-"""A configuration as it was taken."""
+"""A configuration that the control plane has accepted."""
 
 import dataclasses
 from datetime import datetime
@@ -6,13 +6,18 @@
 
 from dockmux.runtime.time_units import from_instant_us, instant_us
 
+# Accepted configurations that stay available.
 CONFIGS_KEPT = 20
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Config:
-    """One accepted configuration. Invariants: of two, the one with the higher mark has the later activate; `version`
-    is the operator's own number, where operators give one, and rises with the mark."""
+    """One accepted configuration.
+
+    Invariants: of two configurations, the one with the higher `mark` (its position in the chain) has the later
+    `activate` (the time from which it is in force). `version` is the operator's own number, 0 if operators assign
+    none, and increases with the mark.
+    """
 
     mark: int
     tree: dict[str, Any]
@@ -21,15 +26,17 @@
 
     @property
     def number(self) -> int:
-        """What operators call it by: their own number or, without one, its mark."""
+        """The number shown to operators: their own version or, without one, the mark."""
         return self.version or self.mark
 
     def fields(self) -> dict[str, Any]:
+        """The JSON object sent to other daemons and stored on disk."""
         fields = {"mark": self.mark, "tree": self.tree, "activateUs": instant_us(self.activate)}
         return fields | {"version": self.version} if self.version else fields
 
 
 def config_from(*, fields: dict[str, Any]) -> Config:
+    """The inverse of `Config.fields`."""
     return Config(
         mark=fields["mark"],
         tree=fields["tree"],
--- a/dockmux/runtime/config_tree.py
+++ b/dockmux/runtime/config_tree.py
@@ -1,18 +1,18 @@
-"""The configuration tree: checking it, and what a lane inherits from where."""
+"""The configuration tree: validation, and the resolution of inherited values of a lane."""
 
 from typing import Any
 
 from dockmux.runtime import schemas
 
 INHERITED = ("horizonMs", "urgency", "model", "adapter", "run")
-EXTRA_PERCENT = 10
+DEFAULT_EXTRA_PERCENT = 10
 
 
 def validate(*, tree: Any) -> list[dict[str, str]]:
-    """Every error with its JSON path; none when the tree may be used."""
-    wrong = schemas.errors(name="tree", value=tree)
-    if wrong:
-        return wrong
+    """Every error with its JSON path; empty for a valid tree."""
+    schema_errors = schemas.errors(name="tree", value=tree)
+    if schema_errors:
+        return schema_errors
     return [
         {"path": f"$.lanes.{lane}.service", "error": f"no service {values['service']!r} in $.services"}
         for lane, values in sorted(tree["lanes"].items())
@@ -21,7 +21,10 @@
 
 
 def explain(*, tree: dict[str, Any], lane: str, site: str) -> dict[str, Any] | None:
-    """Each value of a lane at a site, with the place in the tree that it comes from."""
+    """Each value of a lane at a site, with the path in the tree it comes from; None for an unknown lane.
+
+    A value set at the lane takes precedence over the service, then the site, then the defaults.
+    """
     if lane not in tree["lanes"]:
         return None
     own = tree["lanes"][lane]
@@ -32,21 +35,22 @@
         (f"sites.{site}", tree.get("sites", {}).get(site, {})),
         ("defaults", tree["defaults"]),
     ]
-    told: dict[str, Any] = {"service": {"value": service, "from": f"lanes.{lane}"}}
+    explained: dict[str, Any] = {"service": {"value": service, "from": f"lanes.{lane}"}}
     for key in INHERITED:
         place = next(((name, values) for name, values in places if key in values), None)
-        told[key] = {"value": place[1][key], "from": place[0]} if place else {"value": None, "from": "nowhere"}
-    return told
+        explained[key] = {"value": place[1][key], "from": place[0]} if place else {"value": None, "from": "nowhere"}
+    return explained
 
 
 def resolve(*, tree: dict[str, Any], lane: str, site: str) -> dict[str, Any] | None:
-    """The values of a lane at a site."""
-    told = explain(tree=tree, lane=lane, site=site)
-    return None if told is None else {key: value["value"] for key, value in told.items()}
+    """The values of a lane at a site; None for an unknown lane."""
+    explained = explain(tree=tree, lane=lane, site=site)
+    return None if explained is None else {key: value["value"] for key, value in explained.items()}
 
 
 def extra_percent(*, tree: dict[str, Any], service: str) -> int:
-    return tree["services"][service].get("extraPercent", EXTRA_PERCENT)
+    """Extra sends allowed for a service, in percent of its requests."""
+    return tree["services"][service].get("extraPercent", DEFAULT_EXTRA_PERCENT)
 
 
 def test_a_lane_inherits_from_service_then_site_then_defaults(snapshot):
--- a/dockmux/runtime/daemon.py
+++ b/dockmux/runtime/daemon.py
@@ -1,4 +1,4 @@
-"""What both daemons' programs do alike: logging, signals, a drained stop."""
+"""The main loop shared by the daemons' programs: logging, signals, and a stop that drains open requests."""
 
 import logging as python_logging
 import os
@@ -10,91 +10,93 @@
 
 from absl import flags, logging
 
-from dockmux.runtime.file_calls import FILE_CALL_LIMIT, DiskSilent
+from dockmux.runtime.file_calls import FILE_CALL_LIMIT, DiskUnresponsive
 from dockmux.runtime.host import LEVELS, Host
 from dockmux.runtime.log_events import LogEvent
 from dockmux.runtime.record_log import RecordLogDamaged
-from dockmux.runtime.settings import BadSetting
+from dockmux.runtime.settings import SettingsError
 from dockmux.runtime.settings_type import Settings
 from dockmux.runtime.time_units import to_ms
 
 EXIT_CANNOT_RUN = 1
 EXIT_DATA_DAMAGED = 3
-EXIT_DISK_SILENT = 4
-STEP = timedelta(milliseconds=50)
-FORMAT = "%(asctime)s %(levelname)s %(message)s"
+EXIT_DISK_UNRESPONSIVE = 4
+POLL_INTERVAL = timedelta(milliseconds=50)
+LOG_FORMAT = "%(asctime)s %(levelname)s %(message)s"
 
 
-def _reload(*, host: Host, settings: Settings, daemon: Any, again: Callable[[], Settings] | None) -> None:
-    """Takes over what may change while a daemon runs: its seeds. The rest holds from the next start on."""
+def _reload(*, host: Host, settings: Settings, daemon: Any, reload_settings: Callable[[], Settings] | None) -> None:
+    """Applies the settings that may change while a daemon runs: the seeds. The others apply from the next start."""
     try:
-        fresh = again() if again is not None else settings
-    except BadSetting as error:
-        host.log(LogEvent.SETTINGS_BAD, error=error)
+        fresh = reload_settings() if reload_settings is not None else settings
+    except SettingsError as error:
+        host.log(LogEvent.SETTINGS_REJECTED, error=error)
         return
     daemon.peers.seeds = list(fresh.seeds)
-    host.log(LogEvent.SETTINGS_READ, seeds=",".join(fresh.seeds))
+    host.log(LogEvent.SETTINGS_RELOADED, seeds=",".join(fresh.seeds))
 
 
-def _wait(*, host: Host, wait: timedelta) -> None:
-    """Waits, and ends the process at once if its disk has fallen silent: it must not act for a state that it can no
-    longer store."""
+def _sleep_checking_disk(*, host: Host, wait: timedelta) -> None:
+    """Sleeps, then exits the process at once if a file call has timed out: the daemon must not act on state that it can
+    no longer store."""
     host.sleep(wait=wait)
-    if host.disk_silent:
-        _end_silent(host=host)
+    if host.disk_unresponsive:
+        _exit_disk_unresponsive(host=host)
 
 
-def _end_silent(*, host: Host) -> None:
-    """Without unwinding: a file call that does not return would hold that up."""
-    host.log(LogEvent.DISK_SILENT, limitMs=to_ms(FILE_CALL_LIMIT), code=EXIT_DISK_SILENT)
+def _exit_disk_unresponsive(*, host: Host) -> None:
+    """Exits without unwinding, which the pending file call would block."""
+    host.log(LogEvent.DISK_UNRESPONSIVE, limitMs=to_ms(FILE_CALL_LIMIT), code=EXIT_DISK_UNRESPONSIVE)
     logging.flush()
-    os._exit(EXIT_DISK_SILENT)
+    os._exit(EXIT_DISK_UNRESPONSIVE)
 
 
 def run(
-    *, host: Host, settings: Settings, running: AbstractContextManager[Any],
-    again: Callable[[], Settings] | None = None, changed: list[int] | None = None,
+    *, host: Host, settings: Settings, context: AbstractContextManager[Any],
+    reload_settings: Callable[[], Settings] | None = None, pending_hangups: list[int] | None = None,
 ) -> int:  # fmt: skip
-    """Runs a daemon until SIGTERM or SIGINT, lets it drain, and gives the exit code. SIGHUP has it read its settings
-    `again`; `changed` has those signals that came before."""
+    """Runs the daemon that `context` starts until SIGTERM or SIGINT, drains it, and returns the exit code.
+
+    SIGHUP calls `reload_settings`; `pending_hangups` holds the SIGHUPs received before this call.
+    """
     flags.FLAGS.mark_as_parsed()
     logging.use_absl_handler()
-    logging.get_absl_handler().setFormatter(python_logging.Formatter(FORMAT))
+    logging.get_absl_handler().setFormatter(python_logging.Formatter(LOG_FORMAT))
     logging.set_verbosity(LEVELS[settings.log_level.value])
-    asked: list[timedelta] = []
+    stop_requests: list[timedelta] = []
 
-    def note(_number: int, _: object) -> None:
-        asked.append(host.elapsed())
+    def request_stop(_number: int, _: object) -> None:
+        stop_requests.append(host.elapsed())
 
-    hangups = [] if changed is None else changed
+    hangups = [] if pending_hangups is None else pending_hangups
 
-    def note_change(number: int, _: object) -> None:
+    def note_hangup(number: int, _: object) -> None:
         hangups.append(number)
 
-    signal.signal(signal.SIGTERM, note)
-    signal.signal(signal.SIGINT, note)
-    signal.signal(signal.SIGHUP, note_change)
+    signal.signal(signal.SIGTERM, request_stop)
+    signal.signal(signal.SIGINT, request_stop)
+    signal.signal(signal.SIGHUP, note_hangup)
     try:
-        with running as daemon:
-            while not asked:
-                _wait(host=host, wait=2 * STEP)
+        with context as daemon:
+            while not stop_requests:
+                _sleep_checking_disk(host=host, wait=2 * POLL_INTERVAL)
                 if hangups:
                     hangups.clear()
-                    _reload(host=host, settings=settings, daemon=daemon, again=again)
+                    _reload(host=host, settings=settings, daemon=daemon, reload_settings=reload_settings)
             limit = host.elapsed() + timedelta(milliseconds=settings.drainMs)
             open_count = daemon.drain()
             host.log(LogEvent.STOPPING, open=open_count)
             while open_count and host.elapsed() < limit:
-                _wait(host=host, wait=STEP)
+                _sleep_checking_disk(host=host, wait=POLL_INTERVAL)
                 open_count = daemon.drain()
-            host.log(LogEvent.STOPPED, afterMs=to_ms(host.elapsed() - asked[0]), open=open_count)
+            host.log(LogEvent.STOPPED, afterMs=to_ms(host.elapsed() - stop_requests[0]), open=open_count)
             logging.flush()
-            # Streams of user agents that never end would hold up an orderly unwinding.
+            # Orderly unwinding could wait forever for client streams that never end.
             os._exit(0)
     except RecordLogDamaged:
         return EXIT_DATA_DAMAGED
-    except DiskSilent:
-        _end_silent(host=host)
+    except DiskUnresponsive:
+        _exit_disk_unresponsive(host=host)
     except OSError as error:
         host.log(LogEvent.CANNOT_RUN, error=error)
     return EXIT_CANNOT_RUN
--- a/dockmux/runtime/engine_connections.py
+++ b/dockmux/runtime/engine_connections.py
@@ -1,4 +1,4 @@
-"""Streams to engines. Every new one asks who is there before anything else is sent on it."""
+"""Connections to engines. Each new connection verifies the engine's identity before anything else is sent on it."""
 
 import contextlib
 import json
@@ -13,21 +13,24 @@
 from dockmux.runtime.log_events import LogEvent
 
 CONNECT_LIMIT = timedelta(milliseconds=800)
-# A leg that is held up on its way must not arrive when its configuration is no longer the current one (rule 8):
-# a quarter second is what the rule leaves, and time for one retransmission.
+# A request to an engine that is delayed on the network must not arrive after its configuration has been superseded
+# (rule 8). 250 ms is the time the rule leaves, and enough for one retransmission.
 UNACKED_LIMIT = timedelta(milliseconds=250)
-IDLE_MOST = 8
-# What a stream has told of its engine's clock is used for so long; two clocks drift apart by 12 ms in it.
-AGE_MOST = timedelta(minutes=1)
+MAX_IDLE_PER_ENGINE = 8
+# How long the clock reading in an identity stays usable; two clocks drift apart by 12 ms in this time.
+MAX_IDENTITY_AGE = timedelta(minutes=1)
 
 
-class NotThatEngine(OSError):
-    """Something else answers at the engine's address."""
+class EngineIdentityMismatch(OSError):
+    """Another engine or service answers at the engine's address."""
 
 
 class EngineConnectionPool:
-    """Invariants: a stream is idle only after a whole exchange on it; a stream given out has told the
-    service, the engine, the incarnation and the engine's time that are in `identity`, asked for at `named_at`."""
+    """Pooled connections to engines, by address.
+
+    Invariants: a connection is idle only after a complete exchange on it. A connection returned by the pool has
+    reported the service, engine, incarnation and engine time in its `identity`, requested at `identified_at`.
+    """
 
     def __init__(self, *, host: Host) -> None:
         self.host = host
@@ -44,59 +47,59 @@
 
     @contextlib.contextmanager
     def open(self, *, engine: dict[str, Any]) -> Iterator[HttpClientConnection]:
-        """A stream on which the engine has named itself; nothing of a request has been sent on it.
+        """A connection whose engine has been identified, with nothing of a request sent on it yet.
 
-        OSError while it cannot be had. What is raised in the body passes through."""
-        stream = self._idle(engine=engine) or self._fresh(engine=engine)
-        whole = False
+        Raises OSError if no such connection can be established. Exceptions of the enclosed block pass through."""
+        stream = self._idle(engine=engine) or self._connect(engine=engine)
+        reusable = False
         try:
             yield stream
-            whole = stream.whole
+            reusable = stream.reusable
         finally:
-            kept = self.idle.setdefault(engine["address"], [])
-            if whole and len(kept) < IDLE_MOST:
-                kept.append(stream)
+            idle = self.idle.setdefault(engine["address"], [])
+            if reusable and len(idle) < MAX_IDLE_PER_ENGINE:
+                idle.append(stream)
             else:
                 stream.close()
 
     def _idle(self, *, engine: dict[str, Any]) -> HttpClientConnection | None:
-        kept = self.idle.get(engine["address"], [])
-        while kept:
-            stream = kept.pop()
-            young = self.host.elapsed() - stream.named_at < AGE_MOST
-            if young and stream.is_connected and self._is(engine=engine, identity=stream.identity):
-                stream.whole = False
+        idle = self.idle.get(engine["address"], [])
+        while idle:
+            stream = idle.pop()
+            recent = self.host.elapsed() - stream.identified_at < MAX_IDENTITY_AGE
+            if recent and stream.is_connected and self._matches(engine=engine, identity=stream.identity):
+                stream.reusable = False
                 return stream
             stream.close()
         return None
 
-    def _fresh(self, *, engine: dict[str, Any]) -> HttpClientConnection:
+    def _connect(self, *, engine: dict[str, Any]) -> HttpClientConnection:
         stream = HttpClientConnection(
-            host=self.host, address=engine["address"], wait=CONNECT_LIMIT, unacked=UNACKED_LIMIT
+            host=self.host, address=engine["address"], wait=CONNECT_LIMIT, user_timeout=UNACKED_LIMIT
         )
-        done = False
+        identified = False
         try:
             with time_limit(wait=CONNECT_LIMIT):
                 stream.connect()
-                stream.named_at = self.host.elapsed()
+                stream.identified_at = self.host.elapsed()
                 response = stream.call(method="GET", path="/identity")
                 identity = json.loads(response.read())
-            if not self._is(engine=engine, identity=identity):
+            if not self._matches(engine=engine, identity=identity):
                 self.host.log(
-                    LogEvent.IDENTITY_REFUSED, address=engine["address"], engine=engine["engine"],
+                    LogEvent.ENGINE_IDENTITY_MISMATCH, address=engine["address"], engine=engine["engine"],
                     service=engine["service"], found=json.dumps(identity)[:200],
                 )  # fmt: skip
-                raise NotThatEngine("another service or engine answers there")
+                raise EngineIdentityMismatch("another service or engine answers at this address")
             stream.identity = identity
-            done = True
+            identified = True
             return stream
         except (urllib3.exceptions.HTTPError, ValueError) as error:
-            raise OSError(f"no identity: {error}") from None
+            raise OSError(f"cannot identify the engine: {error}") from None
         finally:
-            if not done:
+            if not identified:
                 stream.close()
 
-    def _is(self, *, engine: dict[str, Any], identity: Any) -> bool:
+    def _matches(self, *, engine: dict[str, Any], identity: Any) -> bool:
         return (
             isinstance(identity, dict)
             and identity.get("service") == engine["service"]
@@ -106,11 +109,12 @@
         )
 
     def status(self, *, engine: dict[str, Any]) -> dict[str, Any]:
+        """The engine's /status page; raises OSError."""
         with self.open(engine=engine) as stream:
             try:
                 response = stream.call(method="GET", path="/status")
-                told = json.loads(response.read())
+                status = json.loads(response.read())
             except (urllib3.exceptions.HTTPError, ValueError) as error:
                 raise OSError(str(error)) from None
-            stream.whole = True
-            return told
+            stream.reusable = True
+            return status
--- a/dockmux/runtime/event_journal.py
+++ b/dockmux/runtime/event_journal.py
@@ -1,10 +1,10 @@
-"""What happened inside one process: events appended in memory, views folded from them."""
+"""An in-memory journal of the events in one process, with projections folded from it."""
 
 from typing import Any
 
 
 class Projection:
-    """Something folded from a journal. Invariant: `folded` events have been taken in, in order."""
+    """State folded from a journal. Invariant: the first `folded` events have been applied, in order."""
 
     def __init__(self) -> None:
         self.folded = 0
@@ -14,7 +14,7 @@
 
 
 class EventJournal:
-    """Invariant: `events[0]` is event number `dropped`; no view lacks a dropped event."""
+    """Invariant: `events[0]` is event number `dropped`; every projection has applied all dropped events."""
 
     def __init__(self, *, projections: list[Projection]) -> None:
         self.projections = projections
@@ -22,6 +22,7 @@
         self.dropped = 0
 
     def append(self, *, event: Any) -> None:
+        """Appends an event; at 1000 events all projections are brought up to date and the events dropped."""
         self.events.append(event)
         if len(self.events) >= 1000:
             for projection in self.projections:
@@ -30,6 +31,7 @@
             self.events.clear()
 
     def fold(self, *, projection: Projection) -> None:
+        """Brings a projection up to date."""
         while projection.folded < self.dropped + len(self.events):
             event = self.events[projection.folded - self.dropped]
             projection.folded += 1
@@ -45,7 +47,7 @@
         self.total += event
 
 
-def test_a_view_takes_in_every_event_once_across_a_trim():
+def test_a_projection_applies_every_event_once_across_drops():
     early, late = _Sum(), _Sum()
     journal = EventJournal(projections=[early, late])
     for number in range(2500):
--- a/dockmux/runtime/file_calls.py
+++ b/dockmux/runtime/file_calls.py
@@ -1,4 +1,7 @@
-"""A bound on calls to the data folder: one that never returns must not leave a daemon that can store nothing."""
+"""Time limit for calls to the data folder.
+
+Without it a file call that never returns would leave a daemon running that can no longer store anything.
+"""
 
 import contextlib
 from collections.abc import Iterator
@@ -6,33 +9,38 @@
 
 import eventlet
 
-# Longer than disks stall, and short enough that a core is whole again before another one goes.
+# Longer than typical disk stalls, yet short enough that a core is replaced and has caught up before another one fails.
 FILE_CALL_LIMIT = timedelta(seconds=10)
 
 
-class DiskSilent(OSError):
-    """A file call has not returned within its bound: what became of it is not known, and no other is made."""
+class DiskUnresponsive(OSError):
+    """A file call did not return within the limit: its result is unknown, and no further call is made."""
 
 
 class FileCalls:
-    """Invariant: once `lost`, no call of this process is begun any more; what is under way may yet reach the disk, so
-    only another process, which reads what is there, may write again."""
+    """Limits the duration of file calls.
+
+    Invariant: once `timed_out` is set, this process starts no further file call. The pending call may still reach the
+    disk, so only a new process, which reads the actual content first, may write again.
+    """
 
     def __init__(self) -> None:
-        self.lost = False
+        self.timed_out = False
 
     @contextlib.contextmanager
     def bounded(self) -> Iterator[None]:
-        """Bounds the call inside it; DiskSilent when it does not return in time."""
-        if self.lost:
-            raise DiskSilent("an earlier file call has not returned")
+        """Raises DiskUnresponsive if the enclosed call, or an earlier one, does not return within FILE_CALL_LIMIT."""
+        if self.timed_out:
+            raise DiskUnresponsive("an earlier file call has not returned")
         limit = eventlet.Timeout(FILE_CALL_LIMIT.total_seconds())
         try:
             yield
         except eventlet.Timeout as timeout:
             if timeout is not limit:
                 raise
-            self.lost = True
-            raise DiskSilent(f"a file call has not returned within {FILE_CALL_LIMIT.total_seconds():g} s") from None
+            self.timed_out = True
+            raise DiskUnresponsive(
+                f"a file call has not returned within {FILE_CALL_LIMIT.total_seconds():g} s"
+            ) from None
         finally:
             limit.cancel()
--- a/dockmux/runtime/generate.py
+++ b/dockmux/runtime/generate.py
@@ -1,4 +1,4 @@
-"""Makes messages.py and settings_type.py from dockmux/schema, and docs/events.md from the log catalogue."""
+"""Generates messages.py and settings_type.py from dockmux/schema, and docs/events.md from the log events."""
 
 import subprocess
 import sys
@@ -6,8 +6,8 @@
 
 from dockmux.runtime import log_events
 
-SCHEMA = Path(__file__).resolve().parent.parent / "schema"
-MADE = {"messages.yaml": "messages.py", "settings.yaml": "settings_type.py"}
+SCHEMA_FOLDER = Path(__file__).resolve().parent.parent / "schema"
+TARGETS = {"messages.yaml": "messages.py", "settings.yaml": "settings_type.py"}
 FLAGS = [
     "--input-file-type", "jsonschema",
     "--output-model-type", "dataclasses.dataclass",
@@ -25,11 +25,11 @@
 
 
 def main() -> int:
-    for source, target in MADE.items():
+    for source, target in TARGETS.items():
         command = [sys.executable, "-m", "datamodel_code_generator", *FLAGS]
-        command += ["--input", str(SCHEMA / source), "--output", str(Path(__file__).parent / target)]
+        command += ["--input", str(SCHEMA_FOLDER / source), "--output", str(Path(__file__).parent / target)]
         subprocess.run(command, check=True)
-    (SCHEMA.parent.parent / "docs" / "events.md").write_text(log_events.page())
+    (SCHEMA_FOLDER.parent.parent / "docs" / "events.md").write_text(log_events.page())
     return 0
 
 
--- a/dockmux/runtime/host.py
+++ b/dockmux/runtime/host.py
@@ -1,4 +1,7 @@
-"""The seam between a daemon and its machine: time, net, disk, random, log. Here the real one."""
+"""The machine interface of a daemon: time, network, disk, randomness and logging, on the real operating system.
+
+The simulator provides the same interface on a virtual machine, so daemons use nothing of the system directly.
+"""
 
 import contextlib
 import os
@@ -20,18 +23,19 @@
 from dockmux.runtime.file_calls import FileCalls
 from dockmux.runtime.log_events import LogEvent
 
-# Of a connection whose other side has closed or reset it, whatever is still to be read.
+# Poll events that report a connection closed or reset by the peer, even while data is still unread.
 POLL_CLOSED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
 
 
 def split_address(*, address: str) -> tuple[str, int]:
+    """Splits "IP:PORT" into the IP address and the port number."""
     ip, _, port = address.rpartition(":")
     return ip, int(port)
 
 
 def _is_at_end(*, sock: GreenSocket) -> bool:
-    """Of a connection that can be read: whether its end is all that is there."""
+    """Whether a readable connection has reached end of stream (or failed) with no data left to read."""
     try:
         return not sock.recv(1, socket.MSG_PEEK)
     except OSError:
@@ -40,39 +44,45 @@
 
 @contextlib.contextmanager
 def time_limit(*, wait: timedelta) -> Iterator[None]:
-    """Bounds everything inside it; TimeoutError when the time is up."""
-    with eventlet.Timeout(max(wait.total_seconds(), 0), TimeoutError("time is up")):
+    """Raises TimeoutError in the enclosed block once `wait` has passed."""
+    with eventlet.Timeout(max(wait.total_seconds(), 0), TimeoutError("timed out")):
         yield
 
 
 class DataFolder:
-    """A daemon's data folder. What a call returned from is synced; a failure is an OSError, DiskSilent where a call
-    does not return at all."""
+    """A daemon's data folder.
+
+    A write has been synced to disk when its call returns. A failure raises OSError; a call that does not return in
+    time raises DiskUnresponsive.
+    """
 
     def __init__(self, *, path: str) -> None:
         self.path = Path(path)
         self.calls = FileCalls()
 
-    def _call(self, work: Callable[..., Any], *arguments: Any) -> Any:
+    def _call(self, function: Callable[..., Any], *arguments: Any) -> Any:
         with self.calls.bounded():
-            return tpool.execute(work, *arguments)
+            return tpool.execute(function, *arguments)
 
     def read(self, *, name: str) -> bytes | None:
+        """The content of a file; None if there is no such file."""
         return self._call(self._read, name)
 
     def append(self, *, name: str, data: bytes, offset: int) -> None:
-        """Writes data at offset, which is the end of what counts, cutting off what lies beyond."""
+        """Writes data at `offset` (in bytes), the end of the valid content; anything beyond it is truncated first."""
         self._call(self._append, name, data, offset)
 
-    def cut(self, *, name: str, offset: int) -> None:
-        """Ends the file at offset."""
+    def truncate(self, *, name: str, offset: int) -> None:
+        """Truncates the file at `offset` (in bytes)."""
         self._call(self._append, name, b"", offset)
 
     def make_durable(self, *, name: str, size: int) -> None:
-        """Ends the file at size, and syncs it and its name, which an earlier process may have left unsynced."""
+        """Truncates the file at `size` bytes and syncs the file and its directory entry: an earlier process may have
+        ended before syncing them."""
         self._call(self._make_durable, name, size)
 
     def replace(self, *, name: str, data: bytes) -> None:
+        """Replaces the whole file atomically, through a temporary file with the suffix `.new`."""
         self._call(self._replace, name, data)
 
     def _read(self, name: str) -> bytes | None:
@@ -91,28 +101,28 @@
 
     def _replace(self, name: str, data: bytes) -> None:
         self.path.mkdir(parents=True, exist_ok=True)
-        fresh = self.path / (name + ".new")
-        with open(fresh, "wb") as file:
+        temporary = self.path / (name + ".new")
+        with open(temporary, "wb") as file:
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
-        os.replace(fresh, self.path / name)
-        self._sync_names()
+        os.replace(temporary, self.path / name)
+        self._sync_directory()
 
     def _make_durable(self, name: str, size: int) -> None:
         self._append(name, b"", size)
-        self._sync_names()
+        self._sync_directory()
 
-    def _sync_names(self) -> None:
-        folder = os.open(self.path, os.O_RDONLY)
+    def _sync_directory(self) -> None:
+        descriptor = os.open(self.path, os.O_RDONLY)
         try:
-            os.fsync(folder)
+            os.fsync(descriptor)
         finally:
-            os.close(folder)
+            os.close(descriptor)
 
 
 class Host:
-    """The real machine under one daemon. Invariant: `elapsed` never runs backwards."""
+    """The real machine a daemon runs on. Invariant: `elapsed` never goes backwards."""
 
     def __init__(self, *, name: str, folder: str = "", seed: int | None = None) -> None:
         self.name = name
@@ -120,14 +130,16 @@
         self.folder = DataFolder(path=folder) if folder else None
 
     @property
-    def disk_silent(self) -> bool:
-        """Whether a file call of this process has not returned: the process is to end."""
-        return self.folder is not None and self.folder.calls.lost
+    def disk_unresponsive(self) -> bool:
+        """Whether a file call of this process has timed out; the process must then exit."""
+        return self.folder is not None and self.folder.calls.timed_out
 
     def elapsed(self) -> timedelta:
+        """Monotonic time since an arbitrary start."""
         return timedelta(microseconds=time.monotonic_ns() // 1000)
 
     def wall(self) -> datetime:
+        """The operating system's clock, which may be wrong or be set back."""
         return datetime.now(UTC)
 
     def sleep(self, *, wait: timedelta) -> None:
@@ -136,22 +148,22 @@
     def spawn(self, *, task: Callable[..., Any], **keywords: Any) -> Any:
         return eventlet.spawn(task, **keywords)
 
-    def connect(self, *, address: str, wait: timedelta, unacked: timedelta | None = None) -> Any:
-        """A stream; with `unacked`, one whose machine drops it, and what it still holds, when something sent
-        has not been received on the other side for so long."""
+    def connect(self, *, address: str, wait: timedelta, user_timeout: timedelta | None = None) -> Any:
+        """Opens a TCP connection. With `user_timeout` the kernel drops the connection, with any unsent data, once sent
+        data has gone unacknowledged for that long (TCP_USER_TIMEOUT)."""
         sock = socket.create_connection(split_address(address=address), timeout=wait.total_seconds())
         sock.settimeout(None)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        if unacked is not None:
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, unacked // timedelta(milliseconds=1))
+        if user_timeout is not None:
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, user_timeout // timedelta(milliseconds=1))
         return sock
 
     def readable(self, *, sock: Any) -> bool:
-        """Whether a read would return at once: data, or the end."""
+        """Whether a read would return at once, with data or at end of stream."""
         return wait_for_read(sock, timeout=0)
 
-    def closed(self, *, socks: Collection[GreenSocket]) -> set[GreenSocket]:
-        """Those whose other side has closed or reset the connection; never waits and takes nothing off them."""
+    def closed_by_peer(self, *, socks: Collection[GreenSocket]) -> set[GreenSocket]:
+        """The connections that the peer has closed or reset. Does not block and consumes no data."""
         by_descriptor = {sock.fileno(): sock for sock in socks}
         poll = select.poll()
         for descriptor in by_descriptor:
@@ -166,21 +178,21 @@
     def listen(self, *, address: str) -> Any:
         return eventlet.listen(split_address(address=address), backlog=512, reuse_port=False)
 
-    def datagrams(self, *, address: str) -> "Datagrams":
-        return Datagrams(address=address)
+    def open_datagram_socket(self, *, address: str) -> "DatagramSocket":
+        return DatagramSocket(address=address)
 
     def log(self, log_event: LogEvent, **fields: Any) -> None:
         logging.log(LEVELS[log_event.level], "[%d] %s: %s", log_event.number, self.name, log_event.text(**fields))
 
 
-class Datagrams:
+class DatagramSocket:
     """A bound UDP socket."""
 
     def __init__(self, *, address: str) -> None:
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.bind(split_address(address=address))
 
-    def __enter__(self) -> "Datagrams":
+    def __enter__(self) -> "DatagramSocket":
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -190,12 +202,13 @@
         try:
             self.sock.sendto(data, split_address(address=address))
         except OSError:
-            pass  # A datagram may be lost anyway; the peer's silence tells.
+            pass  # Datagrams may be lost anyway; an unreachable peer is detected by its silence.
 
     def receive(self) -> tuple[bytes, str]:
+        """Waits for a datagram; returns its data and the sender's "IP:PORT"."""
         while True:
             try:
                 data, (ip, port) = self.sock.recvfrom(65536)
             except ConnectionRefusedError:
-                continue  # An earlier datagram met a closed port.
+                continue  # An earlier datagram was sent to a closed port (ICMP port unreachable).
             return data, f"{ip}:{port}"
--- a/dockmux/runtime/http_transport.py
+++ b/dockmux/runtime/http_transport.py
@@ -1,4 +1,4 @@
-"""HTTP at the seam: serving through eventlet's WSGI engine, asking through urllib3."""
+"""HTTP over the Host interface: a server on eventlet's WSGI server and a client on urllib3's connections."""
 
 import contextlib
 import errno
@@ -21,17 +21,17 @@
 from dockmux.runtime.host import Host, split_address, time_limit
 from dockmux.runtime.log_events import LogEvent
 from dockmux.runtime.outcomes import HttpMapping, Outcome, OutcomeKind
-from dockmux.runtime.served_connections import CONNECTION_KEY, HEAD_BYTES_MOST, HttpConnection, ServedConnections
+from dockmux.runtime.served_connections import CONNECTION_KEY, MAX_HEAD_BYTES, HttpConnection, ServedConnections
 from dockmux.runtime.task_group import describe_error
 
 SEND_LIMIT = timedelta(seconds=10)
 IDLE_LIMIT = timedelta(seconds=60)
-# While a process has no descriptor or buffer left for a connection, before it accepts again.
+# Delay before the next accept when the process is out of descriptors or socket buffers.
 ACCEPT_PAUSE = timedelta(milliseconds=100)
-OUT_OF_ROOM = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-_quiet = logging.getLogger("dockmux.web")
-_quiet.addHandler(logging.NullHandler())
-_quiet.propagate = False
+RESOURCE_EXHAUSTED_ERRNOS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
+_null_logger = logging.getLogger("dockmux.web")
+_null_logger.addHandler(logging.NullHandler())
+_null_logger.propagate = False
 
 REASONS = {
     200: "OK", 202: "Accepted", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
@@ -42,8 +42,8 @@
 }  # fmt: skip
 
 
-class BadBody(Exception):
-    """A request's body did not come as it was announced; `kind` is the outcome for whoever still listens."""
+class RequestBodyError(Exception):
+    """A request's body could not be read as announced. `kind` is the outcome to send to a client that still listens."""
 
     def __init__(self, *, kind: OutcomeKind, why: str) -> None:
         super().__init__(why)
@@ -51,7 +51,7 @@
 
 
 class HttpExchange:
-    """One HTTP request that is being answered."""
+    """One HTTP request and its response."""
 
     def __init__(self, *, environ: dict[str, Any], start_response: Callable[..., Any]) -> None:
         environ["eventlet.minimum_write_chunk_size"] = 0
@@ -62,86 +62,97 @@
 
     @property
     def headers(self) -> tuple[tuple[str, str], ...]:
-        """As they came, in their order."""
+        """The request's headers as received, in order."""
         return self.environ["headers_raw"]
 
     @property
     def target(self) -> str:
-        """The path and query as they came, not decoded."""
+        """The request target as received: path and query, not percent-decoded."""
         query = self.environ.get("QUERY_STRING")
         path = self.environ["RAW_PATH_INFO"]
         return path if query is None else f"{path}?{query}"
 
     def header(self, *, name: str) -> str:
+        """A header's value; empty if it is absent."""
         return self.environ.get("HTTP_" + name.upper().replace("-", "_"), "")
 
     @property
     def connection(self) -> Any:
-        """The socket on which the request came."""
+        """The socket the request was received on."""
         return self.environ[CONNECTION_KEY].connection
 
     @property
     def content_type(self) -> str:
         return (self.environ.get("CONTENT_TYPE") or "").partition(";")[0].strip().lower()
 
-    def body(self, *, limitBytes: int) -> bytes | None:
-        """The whole body, as long as was announced; None when it is longer than the limit. BadBody when it ends early,
-        stops coming, or does not say clearly where it ends."""
+    def body(self, *, limit_bytes: int) -> bytes | None:
+        """The complete body; None if it is longer than `limit_bytes`.
+
+        Raises RequestBodyError if the body ends early, stops arriving, or has no unambiguous end.
+        """
         self._check_framing()
         length = self.environ.get("CONTENT_LENGTH")
-        if length and int(length) > limitBytes:
+        if length and int(length) > limit_bytes:
             return None
         if not length and not self._chunked:
             return b""
         try:
-            data = self.environ["wsgi.input"].read(limitBytes + 1)
+            data = self.environ["wsgi.input"].read(limit_bytes + 1)
         except TimeoutError:
-            raise BadBody(kind=OutcomeKind.BODY_LATE, why="the body stopped coming") from None
+            raise RequestBodyError(kind=OutcomeKind.BODY_LATE, why="timed out while reading the body") from None
         except (OSError, ValueError) as error:
-            raise BadBody(kind=OutcomeKind.BODY_CUT, why=f"the body cannot be read whole: {error}") from None
+            raise RequestBodyError(
+                kind=OutcomeKind.BODY_CUT, why=f"the body cannot be read completely: {error}"
+            ) from None
         if length and len(data) < int(length):
-            raise BadBody(kind=OutcomeKind.BODY_CUT, why=f"the body ended after {len(data)} of {length} bytes")
-        return None if len(data) > limitBytes else data
+            raise RequestBodyError(kind=OutcomeKind.BODY_CUT, why=f"the body ended after {len(data)} of {length} bytes")
+        return None if len(data) > limit_bytes else data
 
     def _check_framing(self) -> None:
-        """BadBody where two readers of the head could disagree on where the body ends."""
+        """Raises RequestBodyError if parsers of the head could disagree on where the body ends (request smuggling)."""
         lengths = {value for name, value in self.headers if name.lower() == "content-length"}
         if len(lengths) > 1 or not all(value.isascii() and value.isdigit() for value in lengths):
-            raise BadBody(kind=OutcomeKind.BODY_CUT, why="the body's length is not one number")
+            raise RequestBodyError(kind=OutcomeKind.BODY_CUT, why="Content-Length is not a single number")
         coding = self.environ.get("HTTP_TRANSFER_ENCODING")
         if coding is not None and not self._chunked:
-            raise BadBody(kind=OutcomeKind.BODY_CUT, why="the transfer coding is not known")
+            raise RequestBodyError(kind=OutcomeKind.BODY_CUT, why="unknown transfer coding")
 
     @property
     def _chunked(self) -> bool:
         return self.environ.get("HTTP_TRANSFER_ENCODING", "").lower() == "chunked"
 
     def begin(self, *, status: int, headers: list[tuple[str, str]]) -> None:
+        """Starts the response with its status and headers."""
         self.start_response(f"{status} {REASONS.get(status, 'Status')}", headers)
 
     def reply(self, *, status: int, fields: Any, headers: Iterable[tuple[str, str]] = ()) -> list[bytes]:
+        """Responds with `fields` as JSON."""
         data = json.dumps(fields).encode() + b"\n"
-        kept = [("Content-Type", "application/json"), ("Content-Length", str(len(data))), *headers]
-        self.begin(status=status, headers=kept)
+        all_headers = [("Content-Type", "application/json"), ("Content-Length", str(len(data))), *headers]
+        self.begin(status=status, headers=all_headers)
         return [data]
 
-    def conclude(self, *, outcome: Outcome, fractions: bool = False) -> list[bytes]:
-        """The one place that turns an outcome into HTTP; with `fractions` the caller takes parts of a second."""
+    def respond(self, *, outcome: Outcome, fractional_seconds: bool = False) -> list[bytes]:
+        """Responds with an outcome; every outcome is mapped to HTTP here. With `fractional_seconds`, Retry-After is
+        exact to the millisecond; without it, it is rounded up to whole seconds."""
         mapping: HttpMapping = outcome.http_mapping
         headers = []
         fields = {"outcome": outcome.kind.value, **outcome.detail}
         if mapping.retry:
-            fields["retryMs"] = outcome.retryMs
-            seconds = f"{outcome.retryMs / 1000:.3f}" if fractions else str(max(1, -(-outcome.retryMs // 1000)))
+            fields["retryMs"] = outcome.retry_ms
+            seconds = (
+                f"{outcome.retry_ms / 1000:.3f}" if fractional_seconds else str(max(1, -(-outcome.retry_ms // 1000)))
+            )
             headers.append(("Retry-After", seconds))
         if outcome.kind in ("too_large", "bad_type") and not self.environ[CONNECTION_KEY].close_connection:
-            # The client closes: closing here, with its body still on the way, would take the answer from it.
+            # The client closes the connection: closing it here, while its body is still arriving, would reset the
+            # connection and could destroy the response.
             headers.append(("Connection", "close"))
         return self.reply(status=mapping.status, fields=fields, headers=headers)
 
 
-class PatientListener:
-    """A listener that outlasts a want of descriptors: the server library would close it."""
+class RetryingListener:
+    """A listener that keeps accepting when descriptors run out; the server library would close it."""
 
     def __init__(self, *, host: Host, listener: Any) -> None:
         self.host = host
@@ -155,9 +166,9 @@
             try:
                 return self.listener.accept()
             except OSError as error:
-                if error.errno not in OUT_OF_ROOM:
+                if error.errno not in RESOURCE_EXHAUSTED_ERRNOS:
                     raise
-                self.host.log(LogEvent.NO_DESCRIPTORS, error=error)
+                self.host.log(LogEvent.ACCEPT_FAILED, error=error)
                 self.host.sleep(wait=ACCEPT_PAUSE)
 
 
@@ -165,49 +176,52 @@
     *, host: Host, listener: Any, handler: Callable[[HttpExchange], Iterable[bytes]], idle: timedelta = IDLE_LIMIT,
     connections: ServedConnections | None = None,
 ) -> None:  # fmt: skip
-    """Serves on a socket that is bound already, so that a taken address shows at the daemon's start. `connections` has
-    those that are served, for whoever is to end them."""
-    kept = ServedConnections(idle=idle) if connections is None else connections
+    """Serves HTTP on a bound socket. The caller binds it, so that an address in use is detected at the daemon's start.
+
+    `connections` holds the open connections, for a caller that closes them.
+    """
+    served_connections = ServedConnections(idle=idle) if connections is None else connections
 
     def application(environ: dict[str, Any], start_response: Callable[..., Any]) -> Iterable[bytes]:
-        # Made before the first piece is asked for: it tells the engine not to gather pieces.
+        # Created before the first chunk is requested: it sets eventlet's minimum chunk size to 0, which disables
+        # buffering.
         exchange = HttpExchange(environ=environ, start_response=start_response)
         return answer(exchange)
 
     def answer(exchange: HttpExchange) -> Iterator[bytes]:
         try:
             yield from handler(exchange)
-        except BadBody as error:
+        except RequestBodyError as error:
             exchange.environ[CONNECTION_KEY].close_connection = True
-            yield from exchange.conclude(outcome=Outcome(kind=error.kind, detail={"why": str(error)}))
+            yield from exchange.respond(outcome=Outcome(kind=error.kind, detail={"why": str(error)}))
         except (OSError, GreenletExit, GeneratorExit):
-            raise  # The stream broke, or is to end: it breaks off without its last line.
+            raise  # The connection failed or is being closed: the response ends without its last chunk.
         except Exception as error:
             host.log(LogEvent.TASK_FAILED, task=f"{exchange.method} {exchange.path}", error=describe_error(error=error))
             raise
 
     wsgi.server(
-        PatientListener(host=host, listener=listener),
+        RetryingListener(host=host, listener=listener),
         application,
-        log=_quiet,
+        log=_null_logger,
         log_output=False,
         debug=False,
         keepalive=True,
-        url_length_limit=HEAD_BYTES_MOST,
+        url_length_limit=MAX_HEAD_BYTES,
         max_size=4096,
         socket_timeout=SEND_LIMIT.total_seconds(),
-        protocol=functools.partial(HttpConnection, connections=kept),
+        protocol=functools.partial(HttpConnection, connections=served_connections),
     )
 
 
-class BadAnswer(OSError):
-    """What came is no answer, or does not say clearly where its body ends."""
+class InvalidResponse(OSError):
+    """The response is malformed, or has no unambiguous end."""
 
 
 class StrictResponse(http.client.HTTPResponse):
-    """An answer whose head came whole and says clearly where its body ends; anything else is an error. Interim
-    answers before it are passed over. Invariant: `surplus` is true once it was read to its end and more had come by
-    then."""
+    """A response with a complete head and an unambiguous end of body; anything else is an error. Interim (1xx)
+    responses are skipped. Invariant: `surplus` is true once the response has been read to its end and data beyond it
+    had arrived by then."""
 
     def __init__(self, sock: Any, debuglevel: int = 0, method: str | None = None, url: str | None = None) -> None:
         super().__init__(sock, debuglevel=debuglevel, method=method, url=url)
@@ -222,7 +236,7 @@
         super().begin()
         while 100 <= self.status < 200:
             if self.status == http.client.SWITCHING_PROTOCOLS:
-                raise BadAnswer("another protocol, which nobody asked for")
+                raise InvalidResponse("101 Switching Protocols without an Upgrade request")
             self.headers = self.msg = None
             super().begin()
         urllib3.util.response.assert_header_parsing(self.msg)
@@ -231,34 +245,34 @@
     def _check_framing(self) -> None:
         coding = self.headers.get("transfer-encoding")
         if coding is not None and not self.chunked:
-            raise BadAnswer(f"unknown transfer coding {coding!r}")
+            raise InvalidResponse(f"unknown transfer coding {coding!r}")
         length = self.headers.get("content-length")
         if length is not None and not (length.isascii() and length.strip().isdigit()):
-            raise BadAnswer(f"no content length: {length!r}")
+            raise InvalidResponse(f"invalid Content-Length: {length!r}")
 
 
 class HttpClientConnection(urllib3.connection.HTTPConnection):
-    """One HTTP stream whose socket comes from the seam. Redirects and retries do not exist here:
-    they belong to urllib3's pools, which are not used. Invariant: `whole` is true only while every
-    exchange begun on the stream has been read to its end."""
+    """One HTTP client connection on a socket of the Host. It does no redirects or retries: in urllib3 these belong to
+    the pools, which are not used. Invariant: `reusable` is true only while every exchange started on the connection
+    has been read to its end. `identity` is the engine's answer to /identity, requested at `identified_at`."""
 
     response_class = StrictResponse
 
-    def __init__(self, *, host: Host, address: str, wait: timedelta, unacked: timedelta | None = None) -> None:
+    def __init__(self, *, host: Host, address: str, wait: timedelta, user_timeout: timedelta | None = None) -> None:
         ip, port = split_address(address=address)
-        # Reading is bounded by whoever reads; only connecting is bounded here.
+        # Only connecting has a time limit here; the caller limits reading.
         super().__init__(ip, port, timeout=None)
-        self.seam = host
-        self.target = address
+        self.runtime_host = host
+        self.peer_address = address
         self.wait = wait
-        self.unacked = unacked
+        self.user_timeout = user_timeout
         self.identity: dict[str, Any] = {}
-        self.named_at = timedelta()
+        self.identified_at = timedelta()
         self.keep_until = timedelta()
-        self.whole = False
-        self.last_request = ""
-        self.connected: Any = None
-        self.answer: StrictResponse | None = None
+        self.reusable = False
+        self.last_request_id = ""
+        self.connected_sock: Any = None
+        self.last_response: StrictResponse | None = None
 
     def __enter__(self) -> "HttpClientConnection":
         return self
@@ -267,52 +281,55 @@
         self.close()
 
     def _new_conn(self) -> Any:
-        # Kept apart: `sock` is given up while an answer is still read that ends with the connection.
-        self.connected = self.seam.connect(address=self.target, wait=self.wait, unacked=self.unacked)
-        return self.connected
+        # Kept separately: http.client drops `sock` while a response that ends with the connection is still being read.
+        self.connected_sock = self.runtime_host.connect(
+            address=self.peer_address, wait=self.wait, user_timeout=self.user_timeout
+        )
+        return self.connected_sock
 
     def getresponse(self) -> urllib3.HTTPResponse:
         try:
             response = super().getresponse()
         except (http.client.HTTPException, urllib3.exceptions.HTTPError) as error:
-            raise BadAnswer(f"{type(error).__name__}: {error}") from error
-        self.answer = response._original_response
+            raise InvalidResponse(f"{type(error).__name__}: {error}") from error
+        self.last_response = response._original_response
         return response
 
     @property
     def has_surplus(self) -> bool:
-        """Whether more came with the last answer than belongs to it; whatever it is, it is no answer to the next."""
-        return self.answer is not None and self.answer.surplus
+        """Whether data arrived beyond the end of the last response; it must not be taken for the next response."""
+        return self.last_response is not None and self.last_response.surplus
 
-    def cut(self) -> None:
-        """Ends the exchange under way, from another task; the task that reads finds the stream's end."""
-        if self.connected is not None:
+    def abort(self) -> None:
+        """Aborts the current exchange, from another task; the reading task sees the end of the stream."""
+        if self.connected_sock is not None:
             with contextlib.suppress(OSError):
-                self.connected.shutdown(socket.SHUT_RDWR)
+                self.connected_sock.shutdown(socket.SHUT_RDWR)
 
     @property
     def is_connected(self) -> bool:
-        """Whether an idle stream may be used: nothing has come in, its end included."""
-        return self.sock is not None and not self.seam.readable(sock=self.sock)
+        """Whether an idle connection may be used: nothing has arrived on it, not even end of stream."""
+        return self.sock is not None and not self.runtime_host.readable(sock=self.sock)
 
     def call(self, *, method: str, path: str, fields: Any = None, headers: dict[str, str] | None = None) -> Any:
-        """Sends one request and gives the response, its body still to be read."""
+        """Sends one request and returns the response, with its body still to be read."""
         self.send_request(method=method, path=path, fields=fields, headers=headers)
         return self.getresponse()
 
     def send_request(
         self, *, method: str, path: str, fields: Any = None, headers: dict[str, str] | None = None
     ) -> None:
+        """Sends one request, with `fields` as its JSON body, without waiting for the response."""
         data = None if fields is None else json.dumps(fields).encode()
-        kept = {"Content-Type": "application/json"} if data is not None else {}
-        self.request(method, path, body=data, headers={**kept, **(headers or {})}, preload_content=False)
+        content_headers = {"Content-Type": "application/json"} if data is not None else {}
+        self.request(method, path, body=data, headers={**content_headers, **(headers or {})}, preload_content=False)
 
 
 def fetch(
     *, host: Host, address: str, method: str, path: str, wait: timedelta,
     fields: Any = None, headers: dict[str, str] | None = None,
 ) -> tuple[int, Any, dict[str, str]]:  # fmt: skip
-    """One whole exchange on a stream of its own: status, JSON, headers."""
+    """One complete exchange on a new connection: status, JSON body and headers."""
     with time_limit(wait=wait), HttpClientConnection(host=host, address=address, wait=wait) as stream:
         stream.connect()
         response = stream.call(method=method, path=path, fields=fields, headers=headers)
--- a/dockmux/runtime/log_events.py
+++ b/dockmux/runtime/log_events.py
@@ -23,83 +23,83 @@
         "Look for another program that sends to this port, or for mixed releases.",
     )
     CANNOT_RUN = (1006, "error", "cannot run: {error}", "Free the address or the disk that is named.")
-    SETTINGS_READ = (1007, "info", "settings read again, seeds {seeds}", "Nothing.")
-    SETTINGS_BAD = (
+    SETTINGS_RELOADED = (1007, "info", "settings read again, seeds {seeds}", "Nothing.")
+    SETTINGS_REJECTED = (
         1008,
         "error",
         "the changed settings are not taken: {error}",
         "Mend the line that is named and signal again; the former ones hold.",
     )
-    NO_DESCRIPTORS = (
+    ACCEPT_FAILED = (
         1009,
         "warning",
         "a connection cannot be accepted: {error}",
         "Raise the process's limit of descriptors, or spread its clients over more daemons.",
     )
-    CLOCK_JOINED = (2001, "info", "clock synchronized from {peer}, bound {boundMs} ms", "Nothing.")
-    CLOCK_FROZE = (
+    CLOCK_SYNCHRONIZED = (2001, "info", "clock synchronized from {peer}, bound {boundMs} ms", "Nothing.")
+    CLOCK_PAUSED = (
         2002,
         "warning",
         "this process stood still for {gapMs} ms; clock not trusted",
         "Look at the machine: suspended, swapping or overloaded.",
     )
-    SOURCE_TAKEN = (2003, "info", "now the source of time under view {mark}", "Nothing.")
-    SOURCE_LEFT = (2004, "info", "no longer the source of time", "Nothing.")
-    FOUNDED = (3001, "info", "control plane founded by {voters}", "Nothing.")
+    TIME_SOURCE_STARTED = (2003, "info", "now the source of time under view {mark}", "Nothing.")
+    TIME_SOURCE_STOPPED = (2004, "info", "no longer the source of time", "Nothing.")
+    CONTROL_PLANE_FOUNDED = (3001, "info", "control plane founded by {voters}", "Nothing.")
     VIEW_ADOPTED = (3002, "info", "view {number}: chain {chain}, voters {voters}", "Nothing.")
     VIEW_PROPOSED = (3003, "info", "proposing view {number}: chain {chain}, voters {voters}", "Nothing.")
-    DISK_FRESH = (
+    DISK_INITIALIZED = (
         3004,
         "warning",
         "the data folder is empty: new disk identity {disk}",
         "Expected on a new or replaced core machine only.",
     )
     DISK_FAILED = (3005, "error", "the disk failed: {error}", "Make room or replace the disk.")
-    DISK_CORRUPT = (
+    RECORD_LOG_CORRUPT = (
         3006,
         "error",
         "{file} is damaged at byte {offset}; this disk is not used",
         "Replace the disk: empty the data folder and start again.",
     )
-    LEDGER_REWRITTEN = (3007, "info", "{file} rewritten: {beforeBytes} to {afterBytes} bytes", "Nothing.")
-    DISK_TORN = (
+    RECORD_LOG_REWRITTEN = (3007, "info", "{file} rewritten: {beforeBytes} to {afterBytes} bytes", "Nothing.")
+    TORN_RECORD_REMOVED = (
         3008,
         "info",
         "{file} ended in {lostBytes} bytes of an unfinished record; cut off",
         "Nothing; they had not been acknowledged.",
     )
-    LEAVING = (3011, "info", "told to stop: leaving the chain by agreement, at mark {mark}", "Nothing.")
-    DISK_SILENT = (
+    CORE_LEAVING = (3011, "info", "told to stop: leaving the chain by agreement, at mark {mark}", "Nothing.")
+    DISK_UNRESPONSIVE = (
         3012,
         "error",
         "a file call has not returned within {limitMs} ms: this process ends with code {code} to be started anew",
         "Look at the disk when it comes again; what the core had stored is read again at its start.",
     )
-    JOINED = (3009, "info", "caught up from the tail at mark {mark}", "Nothing.")
-    SUSPECTED = (
+    CORE_JOINED = (3009, "info", "caught up from the tail at mark {mark}", "Nothing.")
+    CORE_SUSPECTED = (
         3010,
         "warning",
         "core {disk} has been silent for {silentMs} ms",
         "Look at that machine; the chain goes on without it.",
     )
-    MARK_LEARNED = (4001, "info", "configuration {mark} learned, in use at {activate}", "Nothing.")
+    CONFIG_RECEIVED = (4001, "info", "configuration {mark} learned, in use at {activate}", "Nothing.")
     PERMISSION_LOST = (
         4002,
         "warning",
         "no fresh news from the control plane; no new work",
         "See `edict status`: the core has no majority or cannot be reached.",
     )
-    PERMISSION_BACK = (4003, "info", "fresh news again; taking new work", "Nothing.")
+    PERMISSION_RESTORED = (4003, "info", "fresh news again; taking new work", "Nothing.")
     ENGINE_CHANGED = (4004, "info", "engine {engine}: {state}", "Nothing, unless it is not expected.")
-    IDENTITY_REFUSED = (
+    ENGINE_IDENTITY_MISMATCH = (
         4005,
         "warning",
         "{address} is not engine {engine} of {service}: {found}",
         "Correct the engine list: that address belongs to something else.",
     )
-    ORDERED = (4006, "info", "engine {engine} ordered to {phase} under permit {mark}", "Nothing.")
+    PHASE_ORDERED = (4006, "info", "engine {engine} ordered to {phase} under permit {mark}", "Nothing.")
 
-    ORDER_FAILED = (
+    PHASE_ORDER_FAILED = (
         4007,
         "warning",
         "engine {engine} was not ordered to {phase}: {why}",
@@ -113,9 +113,9 @@
         "engine {engine} is left out for {wait_ms} ms: {why}",
         "Look at the engine when it stays out; work goes to the others.",
     )
-    ENGINE_WELL = (5004, "info", "engine {engine} is used again", "Nothing.")
-    VERSION_IN_USE = (5005, "info", "configuration {version} in use", "Nothing.")
-    ANSWER_SPOILED = (
+    ENGINE_RECOVERED = (5004, "info", "engine {engine} is used again", "Nothing.")
+    CONFIG_IN_USE = (5005, "info", "configuration {version} in use", "Nothing.")
+    RESPONSE_INVALID = (
         5006,
         "warning",
         "engine {engine} sent what is no answer to request {request}: {why}",
--- a/dockmux/runtime/metrics.py
+++ b/dockmux/runtime/metrics.py
@@ -1,4 +1,4 @@
-"""Figures for a monitoring system, on an HTTP page through prometheus-client."""
+"""The Prometheus metrics page, rendered by prometheus-client."""
 
 import dataclasses
 from collections.abc import Iterator
@@ -10,26 +10,27 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Spread:
-    """One stage's histogram. Invariant: `counts` has one more than `ends`, for what lies above them all."""
+class StageHistogram:
+    """The histogram of one request stage, in seconds. Invariant: `counts` has one more item than `upper_bounds`, for
+    the values above all of them; `total` is the sum of all values."""
 
-    ends: list[float]
+    upper_bounds: list[float]
     counts: list[int]
     total: float
 
 
-class _Stages:
-    """The stages' histograms, as the library collects them."""
+class _StageCollector:
+    """Provides the stage histograms to the Prometheus registry."""
 
-    def __init__(self, *, spreads: dict[str, Spread]) -> None:
-        self.spreads = spreads
+    def __init__(self, *, histograms: dict[str, StageHistogram]) -> None:
+        self.histograms = histograms
 
     def collect(self) -> Iterator[HistogramMetricFamily]:
         family = HistogramMetricFamily("dockmux_stage_seconds", "stages of answered requests", labels=["stage"])
-        for stage, spread in sorted(self.spreads.items()):
-            names = [*(str(end) for end in spread.ends), "+Inf"]
-            sums = [sum(spread.counts[: place + 1]) for place in range(len(names))]
-            family.add_metric([stage], list(zip(names, sums, strict=True)), spread.total)
+        for stage, histogram in sorted(self.histograms.items()):
+            names = [*(str(bound) for bound in histogram.upper_bounds), "+Inf"]
+            cumulative = [sum(histogram.counts[: place + 1]) for place in range(len(names))]
+            family.add_metric([stage], list(zip(names, cumulative, strict=True)), histogram.total)
         yield family
 
 
@@ -38,10 +39,10 @@
     exchange: HttpExchange,
     values: dict[str, float],
     outcomes: dict[str, int],
-    spreads: dict[str, Spread] | None = None,
+    histograms: dict[str, StageHistogram] | None = None,
 ) -> list[bytes]:
-    """Answers with each value as it is now, with how many requests ended in each kind of outcome, and with how long
-    their stages took."""
+    """Responds with the current values as gauges, the number of requests by outcome kind, and the durations of their
+    stages."""
     registry = CollectorRegistry()
     for name, value in values.items():
         Gauge(f"dockmux_{name}", name.replace("_", " "), registry=registry).set(value)
@@ -49,8 +50,8 @@
         ended = Gauge("dockmux_outcomes", "requests ended, by kind, since the start", ["kind"], registry=registry)
         for kind, count in sorted(outcomes.items()):
             ended.labels(kind).set(count)
-    if spreads:
-        registry.register(_Stages(spreads=spreads))
+    if histograms:
+        registry.register(_StageCollector(histograms=histograms))
     data = generate_latest(registry)
     headers = [("Content-Type", "text/plain; version=0.0.4"), ("Content-Length", str(len(data)))]
     exchange.begin(status=200, headers=headers)
--- a/dockmux/runtime/outcomes.py
+++ b/dockmux/runtime/outcomes.py
@@ -1,4 +1,4 @@
-"""The closed list of outcome kinds and the table from kind to answer."""
+"""The closed set of outcome kinds, and the HTTP response to each."""
 
 import dataclasses
 from enum import StrEnum
@@ -6,10 +6,10 @@
 
 
 class OutcomeKind(StrEnum):
-    """How anything that was asked of dockmux can end."""
+    """Every way in which a request to dockmux can end."""
 
     ANSWERED = "answered"
-    # Refusals: nothing of the request has reached an engine, and nothing will.
+    # Refusals: no part of the request has reached an engine, and none will.
     BUSY = "busy"
     NOT_READY = "not_ready"
     NO_ENGINE = "no_engine"
@@ -25,12 +25,12 @@
     BODY_LATE = "body_late"
     NOT_FOUND = "not_found"
     BAD_METHOD = "bad_method"
-    # After a byte may have reached an engine.
+    # Outcomes after a byte may have reached an engine.
     FAILED = "failed"
     UNKNOWN = "unknown"
     CHANGED = "changed"
     CLIENT_LEFT = "client_left"
-    # Operators.
+    # Outcomes of changes to the configuration and the control plane's state.
     MARK_MISSING = "mark_missing"
     MARK_OUTDATED = "mark_outdated"
     INVALID = "invalid"
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class HttpMapping:
-    """The HTTP side of a kind."""
+    """The HTTP response to an outcome kind: its status, whether it is a refusal, and whether to send Retry-After."""
 
     status: int
     refusal: bool
@@ -80,18 +80,18 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Outcome:
-    """How one asking ended. Invariant: a refusal kind is only ever given while nothing was sent."""
+    """How one request ended. Invariant: a refusal is used only while nothing has been sent to an engine."""
 
     kind: OutcomeKind
     detail: dict[str, Any] = dataclasses.field(default_factory=dict)
-    retryMs: int = 1000
+    retry_ms: int = 1000
 
     @property
     def http_mapping(self) -> HttpMapping:
         return HTTP_MAPPINGS[self.kind]
 
 
-def test_every_kind_has_its_answer():
+def test_every_kind_has_an_http_mapping():
     assert set(HTTP_MAPPINGS) == set(OutcomeKind)
     for kind in (OutcomeKind.FAILED, OutcomeKind.UNKNOWN, OutcomeKind.CHANGED):
         assert not HTTP_MAPPINGS[kind].refusal
--- a/dockmux/runtime/rpc.py
+++ b/dockmux/runtime/rpc.py
@@ -1,4 +1,4 @@
-"""Asking and answering between dockmux's own processes: one message out, one back, over netstrings."""
+"""Remote calls between dockmux's own processes: one request and one reply, framed as netstrings over TCP."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -10,11 +10,12 @@
 from dockmux.runtime.log_events import LogEvent
 from dockmux.runtime.task_group import TaskGroup
 
-IDLE_LIMIT = 8
+# Idle connections kept for each peer.
+MAX_IDLE_CONNECTIONS = 8
 
 
 class RpcClient:
-    """Streams to other daemons. Invariant: an idle stream has no answer outstanding."""
+    """Calls to other daemons over pooled connections. Invariant: an idle connection has no reply outstanding."""
 
     def __init__(self, *, host: Host) -> None:
         self.host = host
@@ -30,63 +31,64 @@
         self.idle.clear()
 
     def call(self, *, address: str, request: Any, wait: timedelta) -> Any:
-        """The answer, or an OSError; after one it is not known whether the ask was carried out."""
-        kept = self.idle.get(address)
-        if kept:
-            return self._exchange(stream=kept.pop(), address=address, request=request, wait=wait)
+        """Returns the reply. After an OSError it is unknown whether the request was carried out."""
+        idle = self.idle.get(address)
+        if idle:
+            return self._exchange(stream=idle.pop(), address=address, request=request, wait=wait)
         with time_limit(wait=wait):
             sock = self.host.connect(address=address, wait=wait)
         sock.settimeout(None)
         return self._exchange(stream=FrameStream(sock=sock), address=address, request=request, wait=wait)
 
     def _exchange(self, *, stream: FrameStream, address: str, request: Any, wait: timedelta) -> Any:
-        done = False
+        reusable = False
         try:
             with time_limit(wait=wait):
                 stream.send(data=codec.encode(message=request))
                 reply = codec.decode(data=stream.receive())
-            # Anything behind the answer would be taken for the next one's.
-            done = not stream.held
-        except codec.Malformed as error:
-            raise OSError(f"bad answer: {error}") from None
+            # Data beyond the reply would be taken for the next reply.
+            reusable = not stream.buffer
+        except codec.MessageFormatError as error:
+            raise OSError(f"malformed reply: {error}") from None
         finally:
-            kept = self.idle.setdefault(address, [])
-            if done and len(kept) < IDLE_LIMIT:
-                kept.append(stream)
+            idle = self.idle.setdefault(address, [])
+            if reusable and len(idle) < MAX_IDLE_CONNECTIONS:
+                idle.append(stream)
             else:
                 stream.__exit__(None, None, None)
-                # The others are likely dead as well, as after the peer's restart.
-                while not done and kept:
-                    kept.pop().__exit__(None, None, None)
+                # The other idle connections are probably dead too, as after a restart of the peer.
+                while not reusable and idle:
+                    idle.pop().__exit__(None, None, None)
         return reply
 
 
 class RpcServer:
-    """Answers asks: a table from message type to the function that answers it."""
+    """Serves requests: `handlers` maps each message type to the function that returns the reply."""
 
-    def __init__(self, *, host: Host, listener: Any, answers: dict[type, Callable[..., Any]]) -> None:
+    def __init__(self, *, host: Host, listener: Any, handlers: dict[type, Callable[..., Any]]) -> None:
         self.host = host
         self.listener = listener
-        self.answers = answers
+        self.handlers = handlers
 
     def run(self) -> None:
+        """Accepts connections and serves each in its own task; does not return."""
         with TaskGroup(host=self.host) as task_group:
             while True:
                 sock, _ = self.listener.accept()
-                task_group.start(task=self._stream, sock=sock)
+                task_group.start(task=self._serve_connection, sock=sock)
 
-    def _stream(self, *, sock: Any) -> None:
+    def _serve_connection(self, *, sock: Any) -> None:
         with FrameStream(sock=sock) as stream:
             while True:
                 try:
                     request = codec.decode(data=stream.receive())
-                    answer = self.answers[type(request)]
+                    handler = self.handlers[type(request)]
                 except OSError:
                     return
-                except (codec.Malformed, KeyError) as error:
+                except (codec.MessageFormatError, KeyError) as error:
                     self.host.log(LogEvent.BAD_FRAME, error=error)
                     return
-                reply = answer(request=request)
+                reply = handler(request=request)
                 try:
                     stream.send(data=codec.encode(message=reply))
                 except OSError:
--- a/dockmux/runtime/served_connections.py
+++ b/dockmux/runtime/served_connections.py
@@ -1,4 +1,4 @@
-"""The connections of one HTTP server, and how they come to their ends when its daemon is told to stop."""
+"""The open connections of an HTTP server, and how they are closed when the daemon stops."""
 
 import contextlib
 import dataclasses
@@ -13,40 +13,44 @@
 from dockmux.runtime.complete_line_reader import CompleteLineReader, HeadTooLarge
 
 CONNECTION_KEY = "dockmux.connection"
-# The most that any configuration may allow for a request's head.
-HEAD_BYTES_MOST = 1 << 20
-# The library's own bounds are constants; `HeadLimits` are in force in their place.
-wsgi.MAX_HEADER_LINE = wsgi.MAX_TOTAL_HEADER_SIZE = HEAD_BYTES_MOST
+# Upper bound for the head size that any configuration may allow.
+MAX_HEAD_BYTES = 1 << 20
+# The library's own limits are module constants; raised here, so that the configurable `HeadLimits` apply instead.
+wsgi.MAX_HEADER_LINE = wsgi.MAX_TOTAL_HEADER_SIZE = MAX_HEAD_BYTES
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class HeadLimits:
-    """How large a request's head may be, how long it may take once begun, and how long a connection may be idle."""
+    """Limits for request heads: the size, the time to receive one, and the time that a connection may be idle."""
 
     size_bytes: int = 16384
-    span: timedelta = timedelta(seconds=10)
-    idle: timedelta = timedelta(seconds=60)
+    read_timeout: timedelta = timedelta(seconds=10)
+    idle_timeout: timedelta = timedelta(seconds=60)
 
 
 class ServedConnections:
-    """Invariants: `open` has each connection that is being served; while `closing`, every answer whose head is still to
-    be written says that its connection closes, and no connection is kept behind its answer; `limits` hold for the next
-    request of each connection."""
+    """The open connections of one server.
 
-    def __init__(self, *, idle: timedelta = HeadLimits.idle) -> None:
-        self.limits = HeadLimits(idle=idle)
+    Invariants: `open` contains every connection being served. While `closing` is set, every response whose head is
+    not yet written announces `Connection: close`, and every connection closes after its response. `limits` apply from
+    the next request of each connection.
+    """
+
+    def __init__(self, *, idle: timedelta = HeadLimits.idle_timeout) -> None:
+        self.limits = HeadLimits(idle_timeout=idle)
         self.open: set[HttpConnection] = set()
         self.closing = False
 
     @property
     def busy(self) -> int:
-        """How many have a request that was begun and is not answered."""
+        """The number of connections with a request that has started and has not been answered."""
         return sum(not connection.is_idle for connection in self.open)
 
     def close_idle(self) -> None:
-        """Closes those on which no request has begun; one that crosses this was not received."""
+        """Closes the connections on which no request has started. A request sent at the same moment counts as not
+        received."""
         for connection in [connection for connection in self.open if connection.is_idle]:
-            connection.turn_away()
+            connection.shut_down()
 
     @contextlib.contextmanager
     def serving(self, *, connection: "HttpConnection") -> Iterator[None]:
@@ -58,31 +62,34 @@
 
 
 class HttpConnection(wsgi.HttpProtocol):
-    """The serving side of one connection. Invariants: a head, a chunk's size or a trailer that the end of input cuts
-    short is never taken for a whole one; `turned_away` connections give out no request any more;
-    `close_connection` holds while this connection or all of the server's are to end behind the present answer."""
+    """The server side of one connection.
+
+    Invariants: a head, chunk size or trailer truncated by end of input is never taken for a complete one. Once
+    `is_shut_down`, no further request is read. `close_connection` is true while this connection, or every connection
+    of the server, is to close after the current response.
+    """
 
     def __init__(self, conn_state: list[Any], server: wsgi.Server, *, connections: ServedConnections) -> None:
         self.connections = connections
-        self.turned_away = False
-        self.closes = False
+        self.is_shut_down = False
+        self.close_requested = False
         super().__init__(conn_state, server)
 
     @property
     def close_connection(self) -> bool:
-        return self.closes or self.connections.closing
+        return self.close_requested or self.connections.closing
 
     @close_connection.setter
-    def close_connection(self, closes: bool) -> None:
-        self.closes = bool(closes)
+    def close_connection(self, close_requested: bool) -> None:
+        self.close_requested = bool(close_requested)
 
     @property
     def is_idle(self) -> bool:
         return self.conn_state[2] == wsgi.STATE_IDLE
 
-    def turn_away(self) -> None:
-        """Ends the connection, from another task; the task that waits for its next request finds its end."""
-        self.turned_away = True
+    def shut_down(self) -> None:
+        """Shuts the connection down, from another task; the task waiting for the next request sees end of stream."""
+        self.is_shut_down = True
         with contextlib.suppress(OSError):
             self.connection.shutdown(socket.SHUT_RDWR)
 
@@ -96,24 +103,24 @@
 
     def _read_request_line(self) -> bytes | str:
         limits = self.connections.limits
-        # What clients that ask for it are told in `Keep-Alive`.
-        self.server.keepalive = limits.idle.total_seconds()
-        self.connection.settimeout(limits.idle.total_seconds())
+        # The timeout announced in `Keep-Alive` to clients that request it.
+        self.server.keepalive = limits.idle_timeout.total_seconds()
+        self.connection.settimeout(limits.idle_timeout.total_seconds())
         try:
             line = self.rfile.readline(limits.size_bytes)
         except ConnectionError:
             return ""
         self.connection.settimeout(self.server.socket_timeout)
-        if self.turned_away:
+        if self.is_shut_down:
             return ""
         if not line.endswith(b"\n"):
             self._refuse_head(status="431 Request Header Fields Too Large")
             return ""
-        self.rfile.left = limits.size_bytes - len(line)
+        self.rfile.remaining_bytes = limits.size_bytes - len(line)
         return line
 
     def parse_request(self) -> bool:
-        limit = eventlet.Timeout(self.connections.limits.span.total_seconds(), False)
+        limit = eventlet.Timeout(self.connections.limits.read_timeout.total_seconds(), False)
         with limit:
             return super().parse_request()
         self._refuse_head(status="408 Request Timeout")
@@ -125,7 +132,7 @@
         except HeadTooLarge:
             self._refuse_head(status="431 Request Header Fields Too Large")
         except ConnectionError:
-            # The head ended early: there is no request, and nobody to tell.
+            # The connection ended within the head: there is no request and no client to respond to.
             self.close_connection = True
 
     def _refuse_head(self, *, status: str) -> None:
@@ -133,6 +140,6 @@
         self.wfile.write(f"HTTP/1.1 {status}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n".encode())
 
     def get_environ(self) -> dict[str, Any]:
-        # The head is whole; the lines of a body in chunks do not count.
-        self.rfile.left = None
+        # The head is complete; the lines of a chunked body do not count towards its limit.
+        self.rfile.remaining_bytes = None
         return {**super().get_environ(), CONNECTION_KEY: self}
--- a/dockmux/runtime/task_group.py
+++ b/dockmux/runtime/task_group.py
@@ -1,4 +1,4 @@
-"""The tasks of a daemon, as one resource."""
+"""A group of tasks that ends together, used as a context manager."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -9,11 +9,12 @@
 from dockmux.runtime.host import Host
 from dockmux.runtime.log_events import LogEvent
 
-AGAIN_WAIT = timedelta(milliseconds=200)
+RESTART_DELAY = timedelta(milliseconds=200)
 
 
 class TaskGroup:
-    """Invariant: every task in `tasks` was spawned here and is ended when the group is left."""
+    """Invariants: every task in `tasks` was spawned here and is killed when the group exits; `failed` is the number of
+    task failures."""
 
     def __init__(self, *, host: Host) -> None:
         self.host = host
@@ -29,17 +30,17 @@
         self.tasks.clear()
 
     def supervise(self, *, task: Callable[..., Any], **keywords: Any) -> None:
-        """Runs a task that ought never to end; begins it again should it fail."""
+        """Runs a task that is meant to run forever, and restarts it after a failure."""
         self.tasks.append(self.host.spawn(task=self._supervise, work=task, keywords=keywords))
 
     def start(self, *, task: Callable[..., Any], **keywords: Any) -> Any:
-        """Runs a task to its end."""
+        """Runs a task once; a failure is logged and counted. Returns the spawned greenlet."""
         self.tasks = [t for t in self.tasks if not t.dead]
-        spawned = self.host.spawn(task=self._once, work=task, keywords=keywords)
+        spawned = self.host.spawn(task=self._run_once, work=task, keywords=keywords)
         self.tasks.append(spawned)
         return spawned
 
-    def _once(self, *, work: Callable[..., Any], keywords: dict[str, Any]) -> None:
+    def _run_once(self, *, work: Callable[..., Any], keywords: dict[str, Any]) -> None:
         try:
             work(**keywords)
         except GreenletExit:
@@ -50,16 +51,16 @@
 
     def _supervise(self, *, work: Callable[..., Any], keywords: dict[str, Any]) -> None:
         while True:
-            self._once(work=work, keywords=keywords)
-            self.host.sleep(wait=AGAIN_WAIT)
+            self._run_once(work=work, keywords=keywords)
+            self.host.sleep(wait=RESTART_DELAY)
 
 
 def describe_error(*, error: BaseException) -> str:
-    """The error with the places it passed through, on one line."""
-    places = []
+    """The error with the last 6 positions of its traceback, on one line."""
+    positions = []
     trace = error.__traceback__
     while trace is not None:
         code = trace.tb_frame.f_code
-        places.append(f"{code.co_filename.rpartition('/')[2]}:{trace.tb_lineno}")
+        positions.append(f"{code.co_filename.rpartition('/')[2]}:{trace.tb_lineno}")
         trace = trace.tb_next
-    return f"{type(error).__name__}: {error} ({' < '.join(reversed(places[-6:]))})"
+    return f"{type(error).__name__}: {error} ({' < '.join(reversed(positions[-6:]))})"
--- a/dockmux/scale_model/meter.py
+++ b/dockmux/scale_model/meter.py
@@ -120,15 +120,15 @@
         super().__init__(**keywords)
         self.meter = Meter()
 
-    def connect(self, *, address: str, wait: timedelta, unacked: timedelta | None = None) -> MeteredStream:
+    def connect(self, *, address: str, wait: timedelta, user_timeout: timedelta | None = None) -> MeteredStream:
         stream = MeteredStream.connect(host=self, address=split_address(address=address), wait=wait)
-        stream.unacked = unacked
+        stream.user_timeout = user_timeout
         return stream
 
     def listen(self, *, address: str) -> SimListener:
         return SimListener(host=self, address=split_address(address=address))
 
-    def datagrams(self, *, address: str) -> MeteredDatagrams:
+    def open_datagram_socket(self, *, address: str) -> MeteredDatagrams:
         return MeteredDatagrams(host=self, address=split_address(address=address))
 
 
--- a/dockmux/simulator/rules.py
+++ b/dockmux/simulator/rules.py
@@ -33,7 +33,7 @@
 from dockmux.runtime.http_transport import HttpClientConnection
 from dockmux.runtime.log_events import LogEvent
 from dockmux.runtime.outcomes import Outcome, OutcomeKind
-from dockmux.runtime.record_log import RecordLog, Unsure, parse
+from dockmux.runtime.record_log import AppendOutcomeUnknown, RecordLog, parse
 from dockmux.runtime.time_units import EPOCH, instant_us, ms
 from dockmux.simulator import checks
 from dockmux.simulator.faults import Doer
@@ -264,7 +264,7 @@
     scene.made.start_engine(engine={**engine, "engine": "stranger", "service": "elsewhere"})
     task.wait()
     return [
-        at for at, _, log_event, _ in scene.made.world.logged if log_event is LogEvent.IDENTITY_REFUSED
+        at for at, _, log_event, _ in scene.made.world.logged if log_event is LogEvent.ENGINE_IDENTITY_MISMATCH
     ] or scene.rows(what="rejected", why="not that engine")
 
 
@@ -415,8 +415,8 @@
 
     def stopping(self: HttpClientConnection, *, method: str, path: str, **words: Any) -> Any:
         if path == "/order" and not stopped:
-            stopped.append(self.seam.name)
-            self.seam.stop(at=1, lasts=ms(3300))
+            stopped.append(self.runtime_host.name)
+            self.runtime_host.stop(at=1, lasts=ms(3300))
         return call(self, method=method, path=path, **words)
 
     HttpClientConnection.call = stopping
@@ -546,7 +546,7 @@
 def _is_sure(self: RecordLog, *, records: list[dict[str, Any]]) -> None:
     try:
         _append(self, records=records)
-    except Unsure as error:
+    except AppendOutcomeUnknown as error:
         raise OSError(*error.args) from None
 
 
@@ -620,7 +620,7 @@
     ),
     Rule(
         number=6, check="services_are_allowed", act=service,
-        defences={"who is there is asked first": [(EngineConnectionPool, "_is", lambda self, **_: True)]},
+        defences={"who is there is asked first": [(EngineConnectionPool, "_matches", lambda self, **_: True)]},
     ),
     Rule(
         number=7, check="leaving_gets_nothing", act=leaving,
--- a/dockmux/simulator/stream.py
+++ b/dockmux/simulator/stream.py
@@ -81,7 +81,7 @@
         self.shut = False
         self.waiting: list[Any] = []
         self.timeout: float | None = None
-        self.unacked: timedelta | None = None
+        self.user_timeout: timedelta | None = None
         self.held_since = 0.0
         self._io_refs = 0
         host.streams.append(self)
@@ -176,7 +176,7 @@
             if self.tries == 1:
                 self.held_since = self.world.hub.moment
             held = self.world.hub.moment - self.held_since
-            dropped = self.unacked is not None and held >= self.unacked.total_seconds()
+            dropped = self.user_timeout is not None and held >= self.user_timeout.total_seconds()
             if dropped or self.tries > RETRANSMIT_MOST:
                 self.flight.clear()
                 self.flight_size = 0
--- a/dockmux/simulator/timing.py
+++ b/dockmux/simulator/timing.py
@@ -43,7 +43,7 @@
 
 
 def _sources(*, made: SimFleet) -> list[timedelta]:
-    return [at for at, _, log_event, _ in made.world.logged if log_event is LogEvent.SOURCE_TAKEN]
+    return [at for at, _, log_event, _ in made.world.logged if log_event is LogEvent.TIME_SOURCE_STARTED]
 
 
 def measure(*, fleet_file: str, seed: int, lasts: timedelta = 600 * SECOND) -> Timing:
--- a/dockmux/simulator/world.py
+++ b/dockmux/simulator/world.py
@@ -190,21 +190,21 @@
     def wall(self) -> datetime:
         return BEGIN + self.world.now() + self.machine.wall_offset
 
-    def connect(self, *, address: str, wait: timedelta, unacked: timedelta | None = None) -> SimStream:
+    def connect(self, *, address: str, wait: timedelta, user_timeout: timedelta | None = None) -> SimStream:
         stream = SimStream.connect(host=self, address=split_address(address=address), wait=wait)
-        stream.unacked = unacked
+        stream.user_timeout = user_timeout
         return stream
 
     def readable(self, *, sock: SimStream) -> bool:
         return sock.readable()
 
-    def closed(self, *, socks: Collection[SimStream]) -> set[SimStream]:
+    def closed_by_peer(self, *, socks: Collection[SimStream]) -> set[SimStream]:
         return {sock for sock in socks if sock.ended or sock.broken}
 
     def listen(self, *, address: str) -> SimListener:
         return SimListener(host=self, address=split_address(address=address))
 
-    def datagrams(self, *, address: str) -> "SimDatagrams":
+    def open_datagram_socket(self, *, address: str) -> "SimDatagrams":
         return SimDatagrams(host=self, address=split_address(address=address))
 
     def log(self, log_event: LogEvent, **fields: Any) -> None:
@@ -282,7 +282,7 @@
     def make_durable(self, *, name: str, size: int) -> None:
         self.append(name=name, data=b"", offset=size)
 
-    def cut(self, *, name: str, offset: int) -> None:
+    def truncate(self, *, name: str, offset: int) -> None:
         self.append(name=name, data=b"", offset=offset)
 
     def replace(self, *, name: str, data: bytes) -> None:
--- a/tests/broken_pool_test.py
+++ b/tests/broken_pool_test.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from dockmux.runtime.daemon import EXIT_DISK_SILENT
+from dockmux.runtime.daemon import EXIT_DISK_UNRESPONSIVE
 from tests.control.cores import text_of
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -98,7 +98,7 @@
             time.sleep(0.5)
         log = (tmp_path / "log").read_text()
         if breaks:
-            assert process.wait(timeout=START_LIMIT_S) == EXIT_DISK_SILENT, log
+            assert process.wait(timeout=START_LIMIT_S) == EXIT_DISK_UNRESPONSIVE, log
             assert "[3012]" in log, log
         else:
             assert process.poll() is None and version == 12, json.dumps({"version": version, "log": log})
--- a/tests/closed_connection_test.py
+++ b/tests/closed_connection_test.py
@@ -22,7 +22,7 @@
 
 
 def is_closed(*, sock: socket.socket) -> bool:
-    return Host(name="test").closed(socks=[sock]) == {sock}
+    return Host(name="test").closed_by_peer(socks=[sock]) == {sock}
 
 
 def test_a_connection_that_is_in_use_is_not_closed(pair):
@@ -54,10 +54,10 @@
     closed, other = socket.socketpair()
     with closed:
         other.close()
-        assert Host(name="test").closed(socks=[ours, theirs, closed]) == {closed}
+        assert Host(name="test").closed_by_peer(socks=[ours, theirs, closed]) == {closed}
 
 
 def test_one_that_this_side_has_closed_is_not_asked_for(pair):
     ours, _ = pair
     ours.close()
-    assert Host(name="test").closed(socks=[ours]) == set()
+    assert Host(name="test").closed_by_peer(socks=[ours]) == set()
--- a/tests/control/cores.py
+++ b/tests/control/cores.py
@@ -59,7 +59,7 @@
             core.operator_api = OperatorApi(core=core, protocol=platform_adapter.PlatformAdapter()).handle_http
             with core.running():
                 self.daemons[name] = core
-                while not host.disk_silent:
+                while not host.disk_unresponsive:
                     host.sleep(wait=ms(100))
                 # As `dockmux.runtime.daemon` does it.
                 host.kill()
--- a/tests/control/record_log_rewrite_test.py
+++ b/tests/control/record_log_rewrite_test.py
@@ -30,7 +30,7 @@
         if self.fails:
             raise OSError(errno.EIO, "input/output error")
 
-    cut = make_durable
+    truncate = make_durable
 
 
 def test_a_rewrite_whose_folder_could_not_be_synced_leaves_no_gap():
--- a/tests/control/record_log_test.py
+++ b/tests/control/record_log_test.py
@@ -6,12 +6,12 @@
 
 from dockmux.runtime.host import Host
 from dockmux.runtime.log_events import LogEvent
-from dockmux.runtime.record_log import RecordLog, RecordLogDamaged, batch_line, line, parse
+from dockmux.runtime.record_log import RecordLog, RecordLogDamaged, encode_batch, encode_record, parse
 
 
 def test_every_prefix_of_a_file_gives_the_whole_records_before_it():
     records = [{"n": n, "text": "x\\n" * n} for n in range(5)]
-    lines = [line(record=record) for record in records]
+    lines = [encode_record(record=record) for record in records]
     data = b"".join(lines)
     ends = [sum(map(len, lines[:n])) for n in range(6)]
     for cut in range(len(data) + 1):
@@ -20,7 +20,7 @@
 
 
 def test_damage_in_the_middle_is_not_read_past():
-    lines = [line(record={"n": n}) for n in range(3)]
+    lines = [encode_record(record={"n": n}) for n in range(3)]
     for place in range(len(lines[0]), len(lines[0]) + len(lines[1])):
         data = bytearray(b"".join(lines))
         data[place] ^= 0x01
@@ -34,8 +34,8 @@
 
 def test_records_that_were_written_at_once_are_lost_at_once():
     """A torn write may lose any of its parts: no record of it is then damage in the middle of the file."""
-    first = line(record={"n": 0})
-    batch = batch_line(records=[{"n": n, "text": "x" * 50} for n in range(1, 6)])
+    first = encode_record(record={"n": 0})
+    batch = encode_batch(records=[{"n": n, "text": "x" * 50} for n in range(1, 6)])
     whole = first + batch
     assert parse(data=whole)[0][-1]["n"] == 5
     for place in range(len(first), len(whole) - 1, 7):
@@ -75,16 +75,16 @@
 
 
 def test_what_a_killed_process_left_in_the_cache_counts_only_once_it_is_synced():
-    synced = line(record={"n": 0})
+    synced = encode_record(record={"n": 0})
     folder = _CachedFolder(files={"log": synced})
-    folder.files["log"] += line(record={"n": 1})  # Written, and the process was killed before its sync.
+    folder.files["log"] += encode_record(record={"n": 1})  # Written, and the process was killed before its sync.
     found = RecordLog(host=_NoHost(), folder=folder, name="log").load()
     after_power_loss, _ = parse(data=folder.durable["log"])
     assert found == after_power_loss == [{"n": 0}, {"n": 1}]
 
 
 def test_damage_is_reported_and_nothing_is_cut_off():
-    whole = line(record={"n": 0}) + line(record={"n": 1})
+    whole = encode_record(record={"n": 0}) + encode_record(record={"n": 1})
     folder = _CachedFolder(files={"log": b"x" + whole[1:]})
     try:
         RecordLog(host=_NoHost(), folder=folder, name="log").load()
--- a/tests/control/silent_disk_test.py
+++ b/tests/control/silent_disk_test.py
@@ -73,9 +73,9 @@
         name = made.chain()[0]
         host = made.hosts[name]
         host.folder.hangs = True
-        with pytest.raises(file_calls.DiskSilent):
+        with pytest.raises(file_calls.DiskUnresponsive):
             host.folder.append(name="x", data=b"1", offset=0)
         host.folder.hangs = False
-        with pytest.raises(file_calls.DiskSilent):
+        with pytest.raises(file_calls.DiskUnresponsive):
             host.folder.append(name="x", data=b"2", offset=0)
-        assert host.disk_silent
+        assert host.disk_unresponsive
--- a/tests/cut_requests_test.py
+++ b/tests/cut_requests_test.py
@@ -113,7 +113,7 @@
             SimHost(world=world, name=ip, machine=world.machine(ip=ip, site="hill")) for ip in ("10.0.0.1", "10.0.0.2")
         ]
         with hosts[0].listen(address=ADDRESS) as listener:
-            desk = RpcServer(host=hosts[0], listener=listener, answers={DirectoryAsk: answer})
+            desk = RpcServer(host=hosts[0], listener=listener, handlers={DirectoryAsk: answer})
             hosts[0].spawn(task=desk.run)
             data = pack(data=codec.encode(message=DirectoryAsk(digest="a" * 16)))
             for end in range(1, len(data) + 1):
--- a/tests/daemon_test.py
+++ b/tests/daemon_test.py
@@ -1,4 +1,4 @@
-"""Signals, as the platform sends them to a daemon."""
+"""How a daemon handles the signals that the platform sends."""
 
 import contextlib
 import os
@@ -10,12 +10,12 @@
 
 from dockmux.runtime import daemon
 from dockmux.runtime.log_events import LogEvent
-from dockmux.runtime.settings import BadSetting, check
+from dockmux.runtime.settings import SettingsError, check
 from dockmux.runtime.settings_type import Settings
 
 
 class Ended(Exception):
-    """Stands for the end of the process."""
+    """Replaces the exit of the process."""
 
 
 class Peers:
@@ -24,7 +24,7 @@
 
 
 class Daemon:
-    """A daemon without anything in it. Invariant: `drained` says that it was told to stop."""
+    """A daemon without functions. Invariant: `drained` says whether it was drained."""
 
     def __init__(self) -> None:
         self.peers = Peers()
@@ -36,13 +36,13 @@
 
 
 class SignalHost:
-    """A host on which each wait brings the next signal; after the last of them it is stopped."""
+    """A host whose every sleep delivers the next signal; after the last one, SIGTERM."""
 
     def __init__(self, *, signals: list[int]) -> None:
         self.signals = signals
         self.logged: list[tuple[LogEvent, dict]] = []
         self.now = timedelta()
-        self.disk_silent = False
+        self.disk_unresponsive = False
 
     def elapsed(self) -> timedelta:
         return self.now
@@ -62,59 +62,64 @@
 
 
 @pytest.fixture
-def own_signals(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
+def isolated_signals(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
     def end(code: int) -> None:
         raise Ended(code)
 
     monkeypatch.setattr(os, "_exit", end)
-    kept = {number: signal.getsignal(number) for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)}
-    # What a process without a handler would do must not end the tests.
-    signal.signal(signal.SIGHUP, lambda *_: pytest.fail("nobody heeds SIGHUP"))
+    saved_handlers = {number: signal.getsignal(number) for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)}
+    # Without a handler a SIGHUP would end the test process.
+    signal.signal(signal.SIGHUP, lambda *_: pytest.fail("SIGHUP is not handled"))
     yield
-    for number, handler in kept.items():
+    for number, handler in saved_handlers.items():
         signal.signal(number, handler)
 
 
-def play(*, signals: list[int], again: object, changed: list[int] | None = None) -> tuple[SignalHost, Daemon]:
-    host, made = SignalHost(signals=signals), Daemon()
+def run_daemon(
+    *, signals: list[int], reload_settings: object, pending_hangups: list[int] | None = None
+) -> tuple[SignalHost, Daemon]:
+    host, stub = SignalHost(signals=signals), Daemon()
     with pytest.raises(Ended):
         daemon.run(
-            host=host, settings=settings(seeds=["10.0.0.1:7000"]), running=contextlib.nullcontext(made), again=again,
-            changed=changed,
+            host=host, settings=settings(seeds=["10.0.0.1:7000"]), context=contextlib.nullcontext(stub),
+            reload_settings=reload_settings, pending_hangups=pending_hangups,
         )  # fmt: skip
-    return host, made
+    return host, stub
 
 
-def test_sighup_has_the_settings_read_again_and_ends_nothing(own_signals: None) -> None:
-    host, made = play(
-        signals=[signal.SIGHUP, signal.SIGHUP], again=lambda: settings(seeds=["10.0.0.2:7000", "10.0.0.3:7000"])
+def test_sighup_reloads_the_settings_without_a_stop(isolated_signals: None) -> None:
+    host, stub = run_daemon(
+        signals=[signal.SIGHUP, signal.SIGHUP],
+        reload_settings=lambda: settings(seeds=["10.0.0.2:7000", "10.0.0.3:7000"])
     )  # fmt: skip
-    assert made.peers.seeds == ["10.0.0.2:7000", "10.0.0.3:7000"] and made.drained
+    assert stub.peers.seeds == ["10.0.0.2:7000", "10.0.0.3:7000"] and stub.drained
     assert [log_event for log_event, _ in host.logged] == [
-        LogEvent.SETTINGS_READ, LogEvent.SETTINGS_READ, LogEvent.STOPPING, LogEvent.STOPPED,
+        LogEvent.SETTINGS_RELOADED, LogEvent.SETTINGS_RELOADED, LogEvent.STOPPING, LogEvent.STOPPED,
     ]  # fmt: skip
 
 
-def test_a_sighup_from_before_is_heeded(own_signals: None) -> None:
-    """Guards against seeds that stay as they were when a daemon began to start."""
-    host, made = play(signals=[signal.SIGTERM], again=lambda: settings(seeds=["10.0.0.2:7000"]), changed=[1])
-    assert made.peers.seeds == ["10.0.0.2:7000"] and host.logged[0][0] is LogEvent.SETTINGS_READ
+def test_a_sighup_received_before_the_run_reloads_the_settings(isolated_signals: None) -> None:
+    """Guards against stale seeds after a SIGHUP during the start of a daemon."""
+    host, stub = run_daemon(
+        signals=[signal.SIGTERM], reload_settings=lambda: settings(seeds=["10.0.0.2:7000"]), pending_hangups=[1]
+    )
+    assert stub.peers.seeds == ["10.0.0.2:7000"] and host.logged[0][0] is LogEvent.SETTINGS_RELOADED
 
 
-def test_a_daemon_whose_disk_is_silent_ends_with_a_code_of_its_own(own_signals: None) -> None:
-    """Guards against a core that lives on and can neither store nor vote (CONFIG)."""
-    host, made = SignalHost(signals=[signal.SIGHUP]), Daemon()
-    host.disk_silent = True
+def test_a_daemon_with_an_unresponsive_disk_exits_with_its_own_code(isolated_signals: None) -> None:
+    """Guards against a core that keeps running but can neither store nor vote (CONFIG)."""
+    host, stub = SignalHost(signals=[signal.SIGHUP]), Daemon()
+    host.disk_unresponsive = True
     with pytest.raises(Ended) as ended:
-        daemon.run(host=host, settings=settings(seeds=["10.0.0.1:7000"]), running=contextlib.nullcontext(made))
-    assert ended.value.args == (daemon.EXIT_DISK_SILENT,) and not made.drained
-    assert [log_event for log_event, _ in host.logged] == [LogEvent.DISK_SILENT]
+        daemon.run(host=host, settings=settings(seeds=["10.0.0.1:7000"]), context=contextlib.nullcontext(stub))
+    assert ended.value.args == (daemon.EXIT_DISK_UNRESPONSIVE,) and not stub.drained
+    assert [log_event for log_event, _ in host.logged] == [LogEvent.DISK_UNRESPONSIVE]
 
 
-def test_a_changed_file_that_is_wrong_changes_nothing(own_signals: None) -> None:
-    def wrong() -> Settings:
-        raise BadSetting("seeds: found nothing, allowed: a list of one to three addresses")
+def test_invalid_settings_are_not_applied(isolated_signals: None) -> None:
+    def invalid() -> Settings:
+        raise SettingsError("seeds: found nothing, allowed: a list of one to three addresses")
 
-    host, made = play(signals=[signal.SIGHUP], again=wrong)
-    assert made.peers.seeds == ["10.0.0.1:7000"]
-    assert host.logged[0][0] is LogEvent.SETTINGS_BAD
+    host, stub = run_daemon(signals=[signal.SIGHUP], reload_settings=invalid)
+    assert stub.peers.seeds == ["10.0.0.1:7000"]
+    assert host.logged[0][0] is LogEvent.SETTINGS_REJECTED
--- a/tests/settings_file_test.py
+++ b/tests/settings_file_test.py
@@ -5,7 +5,7 @@
 import pytest
 import settings_file
 
-from dockmux.runtime.settings import BadSetting
+from dockmux.runtime.settings import SettingsError
 from tests.standins.fleet import lines
 
 
@@ -66,7 +66,7 @@
 )
 def test_a_bad_line_is_told_on_one_line_that_names_it(name, value):
     rows = lines(name="edge-a", zone=0, machine="edge") | {name: value}
-    with pytest.raises(BadSetting) as caught:
+    with pytest.raises(SettingsError) as caught:
         settings_file.settings(lines=rows)
     text = str(caught.value)
     assert "\n" not in text and "found" in text and "allowed" in text
@@ -87,7 +87,7 @@
 )
 def test_a_bad_bound_is_told_on_one_line_that_names_it(name, value):
     rows = lines(name="edge-a", zone=0, machine="edge") | {name: value}
-    with pytest.raises(BadSetting) as caught:
+    with pytest.raises(SettingsError) as caught:
         settings_file.deployment(lines=rows)
     text = str(caught.value)
     assert "\n" not in text and text.startswith(name) and "found" in text and "allowed" in text
@@ -95,14 +95,14 @@
 
 def test_a_file_that_cannot_be_read_is_told_on_one_line(tmp_path, monkeypatch):
     monkeypatch.setenv("DOCKMUX_CONFIG", str(tmp_path / "none"))
-    with pytest.raises(BadSetting) as caught:
+    with pytest.raises(SettingsError) as caught:
         settings_file.read()
     assert "\n" not in str(caught.value) and "DOCKMUX_CONFIG" in str(caught.value)
     monkeypatch.delenv("DOCKMUX_CONFIG")
-    with pytest.raises(BadSetting):
+    with pytest.raises(SettingsError):
         settings_file.read()
     _write(tmp_path=tmp_path, monkeypatch=monkeypatch, data=b"ip=\xff\xfe\n")
-    with pytest.raises(BadSetting):
+    with pytest.raises(SettingsError):
         settings_file.read()
 
 
--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -12,7 +12,7 @@
 from eventlet.semaphore import Semaphore
 
 from dockmux.runtime.http_transport import HttpExchange, serve
-from dockmux.runtime.served_connections import HEAD_BYTES_MOST, HeadLimits, ServedConnections
+from dockmux.runtime.served_connections import MAX_HEAD_BYTES, HeadLimits, ServedConnections
 from dockmux.runtime.task_group import TaskGroup
 from dockmux.runtime.time_units import ms
 from dockmux.simulator.stream import SimStream
@@ -247,7 +247,7 @@
             listener.arrive = note
             self.task_group = task_group
             kept = ServedConnections()
-            kept.limits = HeadLimits(size_bytes=HEAD_BYTES_MOST, idle=timedelta(seconds=6))
+            kept.limits = HeadLimits(size_bytes=MAX_HEAD_BYTES, idle_timeout=timedelta(seconds=6))
             task_group.supervise(
                 task=serve, host=self.host, listener=listener, handler=self.handle_http, connections=kept
             )
@@ -276,7 +276,7 @@
         }  # fmt: skip
 
     def _order(self, *, exchange: HttpExchange) -> list[bytes]:
-        fields = json.loads(exchange.body(limitBytes=1 << 20) or b"{}")
+        fields = json.loads(exchange.body(limit_bytes=1 << 20) or b"{}")
         self.record.orders.append((self.host.world.now(), self.engine, fields))
         if "owner" not in fields or "fence" not in fields:
             return exchange.reply(status=400, fields={})
@@ -315,7 +315,7 @@
             # Only the request's head was taken off the connection.
             reset(stream=self._socket(exchange=exchange))
             raise OSError("reset")
-        body = exchange.body(limitBytes=1 << 24)
+        body = exchange.body(limit_bytes=1 << 24)
         row = Arrival(
             at=self.host.world.now(), engine=self.engine, service=self.service,
             request_id=exchange.header(name="X-Request-Id"), what="queued", by=exchange.environ["REMOTE_ADDR"],
--- a/tests/verdicts_test.py
+++ b/tests/verdicts_test.py
@@ -15,7 +15,7 @@
     assert verdicts.failing(engine="e") and verdicts.to_look_at() == ["e"]
     verdicts.note_success(engine="e")
     assert not verdicts.failing(engine="e") and verdicts.to_look_at() == []
-    assert host.logged == [LogEvent.ENGINE_FAILING, LogEvent.ENGINE_WELL]
+    assert host.logged == [LogEvent.ENGINE_FAILING, LogEvent.ENGINE_RECOVERED]
 
 
 def test_looks_come_at_growing_intervals_up_to_a_bound():
