--- a/dockmux/runtime/log_events.py
+++ b/dockmux/runtime/log_events.py
@@ -1,101 +1,106 @@
-"""Every event that a daemon logs: number, level, text, and what an operator does about it."""
+"""Every event that a daemon logs: its number, level, message text, and the advice to operators."""
 
 from enum import Enum
 from typing import Any
 
 
 class LogEvent(Enum):
-    """A numbered event. Invariant: a number, once released, keeps its meaning."""
+    """A numbered log event: (number, level, text, advice). Invariant: a released number keeps its meaning."""
 
     STARTED = (1001, "info", "started {role} {name} at {address}", "Nothing.")
-    STOPPING = (1002, "info", "stopping, {open} requests open", "Nothing; it ends when they do.")
+    STOPPING = (1002, "info", "stopping, {open} requests open", "Nothing; the process exits once they have ended.")
     STOPPED = (
         1003,
         "info",
         "stopped {afterMs} ms after the signal, {open} requests open",
-        "Requests that were open are cut: look at what kept them.",
+        "Requests still open were cut off: find out why they did not end in time.",
     )
-    TASK_FAILED = (1004, "error", "task {task} failed: {error}", "Report it; the task was begun again.")
+    TASK_FAILED = (1004, "error", "task {task} failed: {error}", "Report it. A periodic task has been restarted.")
     BAD_FRAME = (
         1005,
         "warning",
-        "a message could not be read: {error}",
-        "Look for another program that sends to this port, or for mixed releases.",
+        "malformed message received: {error}",
+        "Check for another program that sends to this port, and for daemons of different releases.",
     )
-    CANNOT_RUN = (1006, "error", "cannot run: {error}", "Free the address or the disk that is named.")
-    SETTINGS_RELOADED = (1007, "info", "settings read again, seeds {seeds}", "Nothing.")
+    CANNOT_RUN = (
+        1006,
+        "error",
+        "cannot run: {error}",
+        "Correct the cause: usually an address already in use, or the disk.",
+    )
+    SETTINGS_RELOADED = (1007, "info", "settings reloaded, seeds {seeds}", "Nothing.")
     SETTINGS_REJECTED = (
         1008,
         "error",
-        "the changed settings are not taken: {error}",
-        "Mend the line that is named and signal again; the former ones hold.",
+        "changed settings rejected: {error}",
+        "Correct the named setting and send SIGHUP again; the previous settings stay in force.",
     )
     ACCEPT_FAILED = (
         1009,
         "warning",
-        "a connection cannot be accepted: {error}",
-        "Raise the process's limit of descriptors, or spread its clients over more daemons.",
+        "cannot accept a connection: {error}",
+        "Raise the process's limit on open files, or spread the clients over more daemons.",
     )
     CLOCK_SYNCHRONIZED = (2001, "info", "clock synchronized from {peer}, bound {boundMs} ms", "Nothing.")
     CLOCK_PAUSED = (
         2002,
         "warning",
-        "this process stood still for {gapMs} ms; clock not trusted",
-        "Look at the machine: suspended, swapping or overloaded.",
+        "process paused for {gapMs} ms; clock no longer trusted",
+        "Check whether the machine is suspended, swapping or overloaded.",
     )
-    TIME_SOURCE_STARTED = (2003, "info", "now the source of time under view {mark}", "Nothing.")
-    TIME_SOURCE_STOPPED = (2004, "info", "no longer the source of time", "Nothing.")
+    TIME_SOURCE_STARTED = (2003, "info", "now the time source in view {mark}", "Nothing.")
+    TIME_SOURCE_STOPPED = (2004, "info", "no longer the time source", "Nothing.")
     CONTROL_PLANE_FOUNDED = (3001, "info", "control plane founded by {voters}", "Nothing.")
     VIEW_ADOPTED = (3002, "info", "view {number}: chain {chain}, voters {voters}", "Nothing.")
     VIEW_PROPOSED = (3003, "info", "proposing view {number}: chain {chain}, voters {voters}", "Nothing.")
     DISK_INITIALIZED = (
         3004,
         "warning",
-        "the data folder is empty: new disk identity {disk}",
-        "Expected on a new or replaced core machine only.",
+        "the data folder is empty; new disk identity {disk}",
+        "Expected only on a new or replaced core machine.",
     )
-    DISK_FAILED = (3005, "error", "the disk failed: {error}", "Make room or replace the disk.")
+    DISK_FAILED = (3005, "error", "disk failure: {error}", "Free disk space, or replace the disk.")
     RECORD_LOG_CORRUPT = (
         3006,
         "error",
-        "{file} is damaged at byte {offset}; this disk is not used",
-        "Replace the disk: empty the data folder and start again.",
+        "{file} is corrupt at byte {offset}; this disk is not used",
+        "Treat the disk as replaced: empty the data folder and restart the daemon.",
     )
-    RECORD_LOG_REWRITTEN = (3007, "info", "{file} rewritten: {beforeBytes} to {afterBytes} bytes", "Nothing.")
+    RECORD_LOG_REWRITTEN = (3007, "info", "{file} rewritten, from {beforeBytes} to {afterBytes} bytes", "Nothing.")
     TORN_RECORD_REMOVED = (
         3008,
         "info",
-        "{file} ended in {lostBytes} bytes of an unfinished record; cut off",
-        "Nothing; they had not been acknowledged.",
+        "{file} ended with {lostBytes} bytes of an incomplete record; removed",
+        "Nothing; the record had not been acknowledged.",
     )
-    CORE_LEAVING = (3011, "info", "told to stop: leaving the chain by agreement, at mark {mark}", "Nothing.")
+    CORE_LEAVING = (3011, "info", "stopping: leaving the chain through a view change, at mark {mark}", "Nothing.")
     DISK_UNRESPONSIVE = (
         3012,
         "error",
-        "a file call has not returned within {limitMs} ms: this process ends with code {code} to be started anew",
-        "Look at the disk when it comes again; what the core had stored is read again at its start.",
+        "a file call did not return within {limitMs} ms; exiting with code {code} to be restarted",
+        "Check the disk if it happens again; the core reads its stored state when it restarts.",
     )
-    CORE_JOINED = (3009, "info", "caught up from the tail at mark {mark}", "Nothing.")
+    CORE_JOINED = (3009, "info", "caught up with the tail at mark {mark}", "Nothing.")
     CORE_SUSPECTED = (
         3010,
         "warning",
-        "core {disk} has been silent for {silentMs} ms",
-        "Look at that machine; the chain goes on without it.",
+        "no message from core {disk} for {silentMs} ms",
+        "Check that machine; the chain continues without it.",
     )
-    CONFIG_RECEIVED = (4001, "info", "configuration {mark} learned, in use at {activate}", "Nothing.")
+    CONFIG_RECEIVED = (4001, "info", "configuration {mark} received, in use from {activate}", "Nothing.")
     PERMISSION_LOST = (
         4002,
         "warning",
-        "no fresh news from the control plane; no new work",
-        "See `edict status`: the core has no majority or cannot be reached.",
+        "no recent update from the control plane; taking no new requests",
+        "Run `edict status`: the cores have no majority or cannot be reached.",
     )
-    PERMISSION_RESTORED = (4003, "info", "fresh news again; taking new work", "Nothing.")
-    ENGINE_CHANGED = (4004, "info", "engine {engine}: {state}", "Nothing, unless it is not expected.")
+    PERMISSION_RESTORED = (4003, "info", "updates from the control plane resumed; taking new requests", "Nothing.")
+    ENGINE_CHANGED = (4004, "info", "engine {engine}: {state}", "Nothing, unless the change is unexpected.")
     ENGINE_IDENTITY_MISMATCH = (
         4005,
         "warning",
         "{address} is not engine {engine} of {service}: {found}",
-        "Correct the engine list: that address belongs to something else.",
+        "Correct the engine list: another engine or service answers at that address.",
     )
     PHASE_ORDERED = (4006, "info", "engine {engine} ordered to {phase} under permit {mark}", "Nothing.")
 
@@ -103,23 +108,28 @@
         4007,
         "warning",
         "engine {engine} was not ordered to {phase}: {why}",
-        "Nothing; it is tried again when it is still wanted.",
+        "Nothing; the order is retried while it is still needed.",
+    )
+    LIST_FAILED = (
+        5001,
+        "warning",
+        "cannot fetch the engine list: {error}",
+        "Check the platform's engine list service.",
     )
-    LIST_FAILED = (5001, "warning", "the list of engines could not be had: {error}", "Look at the platform's list.")
-    LIST_CHANGED = (5002, "info", "the list of engines changed: {count} engines, {leaving} leaving", "Nothing.")
+    LIST_CHANGED = (5002, "info", "engine list changed: {count} engines, {leaving} leaving", "Nothing.")
     ENGINE_FAILING = (
         5003,
         "warning",
-        "engine {engine} is left out for {wait_ms} ms: {why}",
-        "Look at the engine when it stays out; work goes to the others.",
+        "engine {engine} is excluded for {wait_ms} ms: {why}",
+        "Check the engine if it stays excluded; other engines take its requests.",
     )
-    ENGINE_RECOVERED = (5004, "info", "engine {engine} is used again", "Nothing.")
+    ENGINE_RECOVERED = (5004, "info", "engine {engine} is in use again", "Nothing.")
     CONFIG_IN_USE = (5005, "info", "configuration {version} in use", "Nothing.")
     RESPONSE_INVALID = (
         5006,
         "warning",
-        "engine {engine} sent what is no answer to request {request}: {why}",
-        "Look at the engine; nothing of it reached a client.",
+        "engine {engine} sent an invalid response to request {request}: {why}",
+        "Check the engine; nothing of the response reached a client.",
     )
 
     @property
@@ -131,15 +141,16 @@
         return self.value[1]
 
     def text(self, **fields: Any) -> str:
+        """The message with its fields filled in."""
         return self.value[2].format(**fields)
 
 
 def page() -> str:
-    """docs/events.md, made from the list above."""
+    """The content of docs/events.md."""
     lines = [
         "# Log events",
         "",
-        "Made from `dockmux/runtime/log_events.py`; each logged line begins with its number.",
+        "Generated from `dockmux/runtime/log_events.py`; each log line starts with the number of its event.",
         "",
     ]
     lines += ["| number | level | text | what to do |", "| --- | --- | --- | --- |"]
--- a/dockmux/runtime/messages.py
+++ b/dockmux/runtime/messages.py
@@ -15,7 +15,7 @@
 @dataclass(frozen=True, kw_only=True)
 class PeerCard:
     """
-    Who a daemon is and how to reach it; ageMs counts from when it was last heard.
+    A daemon's identity and addresses; ageMs is the time since it was last heard from.
     """
     name: str
     role: str
@@ -31,7 +31,7 @@
 @dataclass(frozen=True, kw_only=True)
 class ClockAsk:
     """
-    First message of a timestamp exchange; T1 stays with the asker.
+    First message of a timestamp exchange; its send time T1 stays with the sender.
     """
     nonce: str
     sender: PeerCard
@@ -41,7 +41,7 @@
 @dataclass(frozen=True, kw_only=True)
 class ClockReply:
     """
-    T2, T3 and what the asker needs to work out the sample's dispersion.
+    T2 (receivedUs), T3 (sentUs) and the values needed to compute the sample's dispersion.
     """
     nonce: str
     sender: PeerCard
@@ -61,7 +61,7 @@
 @dataclass(frozen=True, kw_only=True)
 class EngineUsage:
     """
-    What a watcher last saw of an engine; ageMs counts from the watcher's look.
+    The last observation of an engine; ageMs is the time since that observation.
     """
     engine: str
     incarnation: str
@@ -78,7 +78,7 @@
 @dataclass(frozen=True, kw_only=True)
 class UsageSummary:
     """
-    A gossip datagram.
+    A gossip datagram with the engines and peers that the sender knows.
     """
     sender: PeerCard
     engines: list[EngineUsage]
@@ -89,7 +89,7 @@
 @dataclass(frozen=True, kw_only=True)
 class View:
     """
-    The agreed shape of the control plane; chain and voters name disk identities, joined the view in which each member of the chain came in and has stayed since.
+    The agreed membership of the control plane. chain and voters list disk identities; joined gives for each member of the chain the view in which it joined and since which it has remained a member.
     """
     number: int
     chain: list[str]
@@ -101,7 +101,7 @@
 @dataclass(frozen=True, kw_only=True)
 class Entry:
     """
-    One change in the chain; mark is its place.
+    One change in the chain; mark is its position.
     """
     mark: int
     change: dict[str, Any]
@@ -110,12 +110,18 @@
 
 @dataclass(frozen=True, kw_only=True)
 class FoundAsk:
+    """
+    Asks a core to vote for the first view.
+    """
     view: View
 
 
 
 @dataclass(frozen=True, kw_only=True)
 class PromiseAsk:
+    """
+    First phase of the agreement on a view; asks a voter to promise a ballot.
+    """
     number: int
     ballot: int
     proposer: str
@@ -124,6 +130,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AcceptAsk:
+    """
+    Second phase of the agreement on a view; asks a voter to accept it under a ballot.
+    """
     ballot: int
     proposer: str
     view: View
@@ -133,7 +142,7 @@
 @dataclass(frozen=True, kw_only=True)
 class VoteReply:
     """
-    A voter's answer to a promise, an acceptance, a founding or a grant; level, on a promise, says that the voter is in the chain and holds every acknowledged entry.
+    A voter's reply to PromiseAsk, AcceptAsk, FoundAsk or GrantAsk; in a reply to PromiseAsk, level says that the voter is in the chain and holds every acknowledged entry.
     """
     granted: bool
     disk: str
@@ -148,6 +157,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ViewNews:
+    """
+    Announces an adopted view.
+    """
     view: View
 
 
@@ -155,7 +167,7 @@
 @dataclass(frozen=True, kw_only=True)
 class GrantAsk:
     """
-    A member asks a voter to renew its lease; leaving says that it has been told to stop.
+    A member asks a voter to renew its lease; leaving says that the member is stopping.
     """
     number: int
     disk: str
@@ -166,7 +178,7 @@
 @dataclass(frozen=True, kw_only=True)
 class Append:
     """
-    Predecessor to successor; mark is the place before the first entry, upto the last that the predecessor holds.
+    Entries from a chain member to its successor; mark is the position before the first entry, upto the last position that the sender holds.
     """
     number: int
     mark: int
@@ -178,7 +190,7 @@
 @dataclass(frozen=True, kw_only=True)
 class Appended:
     """
-    state is acked, behind (mark is the successor's last), disk or refused.
+    Reply to Append; state is acked, behind (mark is the successor's last position), disk or refused.
     """
     state: str
     mark: int
@@ -189,7 +201,7 @@
 @dataclass(frozen=True, kw_only=True)
 class ConfirmAsk:
     """
-    A member asks the tail what is acknowledged; control daemons tell each other the sessions that were renewed. sinceUs is the untilUs of this tail's last answer; 0 asks for every session.
+    A member asks the tail which entries are acknowledged; control daemons also exchange the sessions renewed with them. sinceUs is the untilUs of this tail's last reply; 0 requests every session.
     """
     number: int
     sessions: list[PeerCard]
@@ -210,7 +222,7 @@
 @dataclass(frozen=True, kw_only=True)
 class WriteAsk:
     """
-    A change for the head; relayed tells that a member has passed it on already.
+    A change for the head to append; relayed says that a member has already forwarded it.
     """
     change: dict[str, Any]
     relayed: bool
@@ -228,7 +240,7 @@
 @dataclass(frozen=True, kw_only=True)
 class JoinAsk:
     """
-    A core outside the chain asks the tail for what it lacks; fresh, for a part of a snapshot.
+    A core outside the chain asks the tail for the entries it lacks or, with fresh, for a part of a snapshot.
     """
     disk: str
     mark: int
@@ -250,7 +262,7 @@
 @dataclass(frozen=True, kw_only=True)
 class NewsAsk:
     """
-    A data daemon asks with the mark it has; sender renews its session.
+    A data daemon asks for changes after the mark it has; sender also renews its session.
     """
     mark: int
     holdMs: int
@@ -263,7 +275,7 @@
 @dataclass(frozen=True, kw_only=True)
 class NewsReply:
     """
-    ageMs says how old the knowledge is, back to a tail under permit; heldMs how long the answering daemon has known the newest configuration to be acknowledged.
+    ageMs is the age of the information, counted back to a tail that held a permit; heldMs is how long the replying daemon has known the newest configuration to be acknowledged.
     """
     granted: bool
     mark: int
@@ -279,7 +291,7 @@
 @dataclass(frozen=True, kw_only=True)
 class WorkSummary:
     """
-    What a data daemon tells the others - its open work by engine (read_ms still to be read, streams), its newest configuration, its copy of the engine list, engines that it found failing or well again, and the extra sends that it made, by service and window of the shared time.
+    What a data daemon reports to the others - its open work by engine (read_ms of prefill still to run, streams), its newest configuration, its copy of the engine list, engines that it found failing or recovered, and the extra sends that it made, by service and window of the shared clock.
     """
     sender: PeerCard
     mark: int
@@ -297,7 +309,7 @@
 @dataclass(frozen=True, kw_only=True)
 class Moving:
     """
-    An engine is about to be ordered into another phase; for left_ms, or until the list shows that phase, it is sent nothing new.
+    An engine is about to be ordered into another phase; for left_ms, or until the engine list shows that phase, it is sent no new requests.
     """
     sender: PeerCard
     engine: str
@@ -309,7 +321,7 @@
 @dataclass(frozen=True, kw_only=True)
 class DirectoryAsk:
     """
-    A data daemon asks another for its copy of the engine list.
+    A data daemon requests another daemon's copy of the engine list.
     """
     digest: str
 
@@ -318,7 +330,7 @@
 @dataclass(frozen=True, kw_only=True)
 class DirectoryReply:
     """
-    age_ms counts from when the list was asked for.
+    A copy of the engine list; age_ms is the time since the list was requested from the platform.
     """
     digest: str
     age_ms: int
--- a/dockmux/runtime/settings_type.py
+++ b/dockmux/runtime/settings_type.py
@@ -12,7 +12,7 @@
 
 class LogLevel(StrEnum):
     """
-    least level that is logged
+    lowest level that is logged
     """
     debug = 'debug'
     info = 'info'
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,7 @@
-"""Puts the adapter's folder on the path: it is no package, since one of its name would hide the standard library's."""
+"""Shared pytest configuration.
+
+Adds platform/ to the import path: it is no package, since a package of that name would hide the standard library's.
+"""
 
 import gc
 import sys
@@ -13,8 +16,9 @@
 
 
 @pytest.fixture(autouse=True)
-def _leave_ended_worlds_alone() -> Iterator[None]:
-    """The simulator keeps each ended world for good; nothing is to be found in them by looking again and again."""
+def _freeze_finished_worlds() -> Iterator[None]:
+    """Excludes the simulated worlds of finished tests from garbage collection: the simulator keeps them for good, and
+    scanning them again and again frees nothing."""
     yield
     gc.freeze()
 
@@ -24,7 +28,7 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Names the tests of KNOWN-RED.txt that this run passed over."""
+    """Lists the tests of KNOWN-RED.txt whose results did not count in this run."""
     for outcome in ("xfailed", "xpassed"):
         for report in terminalreporter.stats.get(outcome, []):
             terminalreporter.write_line(f"KNOWN RED, {outcome}: {report.nodeid}")
--- a/tests/events_test.py
+++ b/tests/events_test.py
@@ -1,4 +1,4 @@
-"""The events of a stream, cut out whole."""
+"""Splitting a stream into complete server-sent events."""
 
 import pytest
 
@@ -6,23 +6,23 @@
 from tests.standins.engine import event, stream_body
 
 
-def test_however_it_is_cut_up_the_same_events_come_out():
+def test_the_same_events_result_however_the_stream_is_split():
     data = stream_body(request_id="a", count=5)
     for size in range(1, len(data)):
         events = Events(last=None)
-        pieces = [events.feed(data=data[place : place + size]) for place in range(0, len(data), size)]
-        assert b"".join(pieces) == data and events.last == "5" and events.held == b""
-        for piece in pieces:
-            assert piece == b"" or piece.endswith(b"\n\n")
+        chunks = [events.feed(data=data[place : place + size]) for place in range(0, len(data), size)]
+        assert b"".join(chunks) == data and events.last == "5" and events.held == b""
+        for chunk in chunks:
+            assert chunk == b"" or chunk.endswith(b"\n\n")
 
 
-def test_what_is_given_ends_at_an_events_end():
+def test_only_complete_events_are_returned():
     events = Events(last=None)
     assert events.feed(data=event(request_id="a", number=1) + b"id: 2\nda") == event(request_id="a", number=1)
     assert events.last == "1" and events.held == b"id: 2\nda"
 
 
-def test_an_event_that_does_not_rise_is_not_given_again():
+def test_an_event_whose_id_does_not_increase_is_dropped():
     events = Events(last="3")
     assert events.feed(data=stream_body(request_id="a", count=5)) == stream_body(request_id="a", count=5, after=3)
     assert events.feed(data=event(request_id="a", number=5)) == b""
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("last", ("9", "99"))
-def test_ids_are_numbers_not_texts(last):
+def test_ids_are_compared_as_numbers(last):
     events = Events(last=last)
     fresh = event(request_id="a", number=int(last) + 1)
     assert events.feed(data=fresh) == fresh
@@ -45,7 +45,7 @@
         b": a comment\n\nid: 1\ndata: x\n\nid: 2\n\n",
     ],
 )
-def test_ways_of_writing_events(data):
+def test_equivalent_event_syntax(data):
     for size in (1, 2, 7, 100):
         events = Events(last=None)
         out = b"".join(events.feed(data=data[place : place + size]) for place in range(0, len(data), size))
--- a/tests/high_descriptor_test.py
+++ b/tests/high_descriptor_test.py
@@ -1,4 +1,4 @@
-"""Connections whose descriptors have high numbers."""
+"""Connections whose file descriptors exceed the limit of select()."""
 
 import os
 import resource
@@ -8,23 +8,23 @@
 
 from dockmux.runtime.host import Host
 
-SELECT_MOST = 1024
+FD_SETSIZE = 1024  # select() handles lower descriptors only.
 
 
 @pytest.fixture
 def many_descriptors():
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if hard < SELECT_MOST + 100:
-        pytest.fail(f"at most {hard} descriptors here")
-    resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft, SELECT_MOST + 100), hard))
+    if hard < FD_SETSIZE + 100:
+        pytest.fail(f"the hard limit on open files is too low: {hard}")
+    resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft, FD_SETSIZE + 100), hard))
     yield
     resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
-def test_a_connection_with_a_high_descriptor_can_be_looked_at(many_descriptors):
-    """Guards against requests that fail unsent on an edge with over a thousand connections (500)."""
+def test_a_connection_with_a_high_descriptor_can_be_polled(many_descriptors):
+    """Guards against status 500 for requests that were never sent, on an edge with over a thousand connections."""
     ours, theirs = socket.socketpair()
-    high = socket.socket(fileno=os.dup2(ours.fileno(), SELECT_MOST + 50))
+    high = socket.socket(fileno=os.dup2(ours.fileno(), FD_SETSIZE + 50))
     with ours, theirs, high:
         host = Host(name="high")
         assert not host.readable(sock=high)
--- a/tests/http_server_test.py
+++ b/tests/http_server_test.py
@@ -1,4 +1,4 @@
-"""What the HTTP server outlasts, and the limits that clients have: those of the configuration in force."""
+"""The HTTP server recovers from descriptor exhaustion and applies the client limits of the configuration in force."""
 
 import errno
 from datetime import timedelta
@@ -12,8 +12,8 @@
 from tests.standins.operator import configuration, packed
 
 
-class ShortListener:
-    """A listener whose process has no descriptor left, for the first few connections."""
+class ExhaustedListener:
+    """A listener whose first accept calls fail because the process has no descriptor left."""
 
     def __init__(self, *, listener: object, failures: int) -> None:
         self.listener = listener
@@ -29,22 +29,22 @@
         return getattr(self.listener, name)
 
 
-def test_a_server_that_was_out_of_descriptors_serves_again():
-    """Guards against a daemon that listens no more and lives on (nobody is served, and nobody replaces it)."""
+def test_a_server_that_ran_out_of_descriptors_serves_again():
+    """Guards against a daemon that stops listening but keeps running, so that it serves nobody and is not replaced."""
     host = Host(name="short")
     with host.listen(address="127.0.0.1:0") as listener:
         address = "{}:{}".format(*listener.getsockname())
-        short = ShortListener(listener=listener, failures=3)
+        exhausted = ExhaustedListener(listener=listener, failures=3)
         task = eventlet.spawn(
-            serve, host=host, listener=short, handler=lambda exchange: exchange.reply(status=200, fields={})
+            serve, host=host, listener=exhausted, handler=lambda exchange: exchange.reply(status=200, fields={})
         )
         status, _, _ = fetch(host=host, address=address, method="GET", path="/", wait=timedelta(seconds=5))
         task.kill()
-    assert status == 200 and short.failures == 0
+    assert status == 200 and exhausted.failures == 0
 
 
-def head_of(*, made: object, size: int, line: bool) -> bytes:
-    """A request whose head has about so many bytes, in its first line or in one field."""
+def request_with_head(*, made: object, size: int, line: bool) -> bytes:
+    """A request whose head has about `size` bytes, in its request line or in one header."""
     request = made.request(path="/check/c", tokens_out=0, tokens_in=100)
     data = request.wire()
     if line:
@@ -52,7 +52,7 @@
     return data.replace(b"X-Model: m\r\n", b"X-Model: m\r\nX-Long: " + b"x" * size + b"\r\n", 1)
 
 
-def first_line(*, made: object, data: bytes) -> bytes:
+def status_line(*, made: object, data: bytes) -> bytes:
     with made.outside.connect(address=made.edges[0], wait=SECOND) as stream:
         stream.sendall(data)
         made.sleep(seconds=1)
@@ -60,21 +60,21 @@
 
 
 @pytest.mark.parametrize("line", (True, False))
-def test_heads_up_to_the_configurations_limit_are_served(line):
-    """Guards against 400 and 414 for proper requests (DENIED)."""
+def test_heads_up_to_the_configured_limit_are_served(line):
+    """Guards against 400 and 414 for valid requests (DENIED)."""
     with fleet(seed=72, phases="d") as made:
         for size in (9_000, 15_000):
-            assert b" 200 " in first_line(made=made, data=head_of(made=made, size=size, line=line))
-        assert b" 431 " in first_line(made=made, data=head_of(made=made, size=17_000, line=line))
+            assert b" 200 " in status_line(made=made, data=request_with_head(made=made, size=size, line=line))
+        assert b" 431 " in status_line(made=made, data=request_with_head(made=made, size=17_000, line=line))
         fields = configuration(gen=2)
         fields["caps"]["hdr_bytes"] = 32_768
         assert made.operator.put(text=packed(fields=fields), base=1) == 200
         made.sleep(seconds=2)
-        assert b" 200 " in first_line(made=made, data=head_of(made=made, size=30_000, line=line))
+        assert b" 200 " in status_line(made=made, data=request_with_head(made=made, size=30_000, line=line))
 
 
-def test_idle_and_slow_clients_have_the_configurations_time():
-    """Guards against connections that are closed while clients may still use them (LOST)."""
+def test_idle_and_slow_clients_have_the_configured_time():
+    """Guards against connections closed while clients may still use them (LOST)."""
     with fleet(seed=73, phases="d") as made:
         fields = configuration(gen=2)
         fields["caps"] |= {"hdr_ms": 1000, "idle_ms": 4000}
@@ -90,8 +90,8 @@
             assert not idle.readable() and slow.readable()
             made.sleep(seconds=1.5)
             assert idle.readable()
-        asked = data.replace(b"X-Model: m", b"Connection: keep-alive\r\nX-Model: m", 1)
+        keep_alive_request = data.replace(b"X-Model: m", b"Connection: keep-alive\r\nX-Model: m", 1)
         with made.outside.connect(address=made.edges[0], wait=SECOND) as stream:
-            stream.sendall(asked)
+            stream.sendall(keep_alive_request)
             made.sleep(seconds=1)
             assert b"\r\nKeep-Alive: timeout=4\r\n" in stream.recv(65536)
