--- a/dockmux/runtime/daemon.py
+++ b/dockmux/runtime/daemon.py
@@ -28,12 +28,12 @@
 def _reload(*, host: Host, settings: Settings, daemon: Any, reload_settings: Callable[[], Settings] | None) -> None:
     """Applies the settings that may change while a daemon runs: the seeds. The others apply from the next start."""
     try:
-        fresh = reload_settings() if reload_settings is not None else settings
+        reloaded = reload_settings() if reload_settings is not None else settings
     except SettingsError as error:
         host.log(LogEvent.SETTINGS_REJECTED, error=error)
         return
-    daemon.peers.seeds = list(fresh.seeds)
-    host.log(LogEvent.SETTINGS_RELOADED, seeds=",".join(fresh.seeds))
+    daemon.peers.seeds = list(reloaded.seeds)
+    host.log(LogEvent.SETTINGS_RELOADED, seeds=",".join(reloaded.seeds))
 
 
 def _sleep_checking_disk(*, host: Host, wait: timedelta) -> None:
--- a/dockmux/runtime/engine_connections.py
+++ b/dockmux/runtime/engine_connections.py
@@ -15,7 +15,7 @@
 CONNECT_LIMIT = timedelta(milliseconds=800)
 # A request to an engine that is delayed on the network must not arrive after its configuration has been superseded
 # (rule 8). 250 ms is the time the rule leaves, and enough for one retransmission.
-UNACKED_LIMIT = timedelta(milliseconds=250)
+USER_TIMEOUT = timedelta(milliseconds=250)
 MAX_IDLE_PER_ENGINE = 8
 # How long the clock reading in an identity stays usable; two clocks drift apart by 12 ms in this time.
 MAX_IDENTITY_AGE = timedelta(minutes=1)
@@ -50,7 +50,7 @@
         """A connection whose engine has been identified, with nothing of a request sent on it yet.
 
         Raises OSError if no such connection can be established. Exceptions of the enclosed block pass through."""
-        stream = self._idle(engine=engine) or self._connect(engine=engine)
+        stream = self._take_idle(engine=engine) or self._connect(engine=engine)
         reusable = False
         try:
             yield stream
@@ -62,7 +62,7 @@
             else:
                 stream.close()
 
-    def _idle(self, *, engine: dict[str, Any]) -> HttpClientConnection | None:
+    def _take_idle(self, *, engine: dict[str, Any]) -> HttpClientConnection | None:
         idle = self.idle.get(engine["address"], [])
         while idle:
             stream = idle.pop()
@@ -75,7 +75,7 @@
 
     def _connect(self, *, engine: dict[str, Any]) -> HttpClientConnection:
         stream = HttpClientConnection(
-            host=self.host, address=engine["address"], wait=CONNECT_LIMIT, user_timeout=UNACKED_LIMIT
+            host=self.host, address=engine["address"], wait=CONNECT_LIMIT, user_timeout=USER_TIMEOUT
         )
         identified = False
         try:
--- a/dockmux/runtime/host.py
+++ b/dockmux/runtime/host.py
@@ -143,9 +143,11 @@
         return datetime.now(UTC)
 
     def sleep(self, *, wait: timedelta) -> None:
+        """Suspends the current task; other tasks run meanwhile, also for a wait of 0."""
         eventlet.sleep(max(wait.total_seconds(), 0))
 
     def spawn(self, *, task: Callable[..., Any], **keywords: Any) -> Any:
+        """Starts `task` in a green thread, which is returned."""
         return eventlet.spawn(task, **keywords)
 
     def connect(self, *, address: str, wait: timedelta, user_timeout: timedelta | None = None) -> Any:
@@ -176,12 +178,15 @@
         }
 
     def listen(self, *, address: str) -> Any:
+        """A listening TCP socket."""
         return eventlet.listen(split_address(address=address), backlog=512, reuse_port=False)
 
     def open_datagram_socket(self, *, address: str) -> "DatagramSocket":
+        """A UDP socket bound to `address`."""
         return DatagramSocket(address=address)
 
     def log(self, log_event: LogEvent, **fields: Any) -> None:
+        """Logs an event as "[number] NAME: text"."""
         logging.log(LEVELS[log_event.level], "[%d] %s: %s", log_event.number, self.name, log_event.text(**fields))
 
 
--- a/dockmux/runtime/http_transport.py
+++ b/dockmux/runtime/http_transport.py
@@ -33,7 +33,7 @@
 _null_logger.addHandler(logging.NullHandler())
 _null_logger.propagate = False
 
-REASONS = {
+REASON_PHRASES = {
     200: "OK", 202: "Accepted", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
     408: "Request Timeout", 409: "Conflict",
     410: "Gone", 412: "Precondition Failed", 413: "Content Too Large", 415: "Unsupported Media Type",
@@ -123,7 +123,7 @@
 
     def begin(self, *, status: int, headers: list[tuple[str, str]]) -> None:
         """Starts the response with its status and headers."""
-        self.start_response(f"{status} {REASONS.get(status, 'Status')}", headers)
+        self.start_response(f"{status} {REASON_PHRASES.get(status, 'Status')}", headers)
 
     def reply(self, *, status: int, fields: Any, headers: Iterable[tuple[str, str]] = ()) -> list[bytes]:
         """Responds with `fields` as JSON."""
@@ -186,9 +186,9 @@
         # Created before the first chunk is requested: it sets eventlet's minimum chunk size to 0, which disables
         # buffering.
         exchange = HttpExchange(environ=environ, start_response=start_response)
-        return answer(exchange)
+        return generate_response(exchange)
 
-    def answer(exchange: HttpExchange) -> Iterator[bytes]:
+    def generate_response(exchange: HttpExchange) -> Iterator[bytes]:
         try:
             yield from handler(exchange)
         except RequestBodyError as error:
@@ -254,7 +254,8 @@
 class HttpClientConnection(urllib3.connection.HTTPConnection):
     """One HTTP client connection on a socket of the Host. It does no redirects or retries: in urllib3 these belong to
     the pools, which are not used. Invariant: `reusable` is true only while every exchange started on the connection
-    has been read to its end. `identity` is the engine's answer to /identity, requested at `identified_at`."""
+    has been read to its end. `identity` is the engine's reply to /identity, requested at `identified_at`;
+    `keep_until` and `last_request_id` are set by the pool that keeps the connection."""
 
     response_class = StrictResponse
 
--- a/dockmux/runtime/metrics.py
+++ b/dockmux/runtime/metrics.py
@@ -29,7 +29,7 @@
         family = HistogramMetricFamily("dockmux_stage_seconds", "stages of answered requests", labels=["stage"])
         for stage, histogram in sorted(self.histograms.items()):
             names = [*(str(bound) for bound in histogram.upper_bounds), "+Inf"]
-            cumulative = [sum(histogram.counts[: place + 1]) for place in range(len(names))]
+            cumulative = [sum(histogram.counts[: index + 1]) for index in range(len(names))]
             family.add_metric([stage], list(zip(names, cumulative, strict=True)), histogram.total)
         yield family
 
--- a/dockmux/runtime/settings.py
+++ b/dockmux/runtime/settings.py
@@ -29,8 +29,8 @@
         raise SettingsError(f"{key}: found {json.dumps(error.instance)}, allowed: {_allowed(rule=rule)}")
     for key in ("address", "http"):
         _check_address(key=key, text=fields[key])
-    for place, seed in enumerate(fields["seeds"]):
-        _check_address(key=f"seeds[{place}]", text=seed)
+    for index, seed in enumerate(fields["seeds"]):
+        _check_address(key=f"seeds[{index}]", text=seed)
     if fields.get("gossipMinMilliHz", 10) > fields.get("gossipMaxMilliHz", 40):
         raise SettingsError(
             f"gossipMinMilliHz: found {fields.get('gossipMinMilliHz', 10)}, allowed: up to gossipMaxMilliHz"
@@ -106,7 +106,7 @@
         raise SystemExit(2) from None
 
 
-def test_a_bad_setting_is_told_in_one_line(snapshot):
+def test_an_invalid_setting_is_reported_in_one_line(snapshot):
     good = {
         "name": "a",
         "site": "s",
--- a/dockmux/runtime/settings_type.py
+++ b/dockmux/runtime/settings_type.py
@@ -23,6 +23,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Settings:
+    """
+    Settings of a daemon.
+    """
     name: str
     site: str
     address: str
