--- a/dockmux/runtime/log_events.py
+++ b/dockmux/runtime/log_events.py
@@ -15,7 +15,7 @@
         "stopped {afterMs} ms after the signal, {open} requests open",
         "Requests still open were cut off: find out why they did not end in time.",
     )
-    TASK_FAILED = (1004, "error", "task {task} failed: {error}", "Report it. A periodic task has been restarted.")
+    TASK_FAILED = (1004, "error", "task {task} failed: {error}", "Report it; a task that runs permanently has been restarted.")
     BAD_FRAME = (
         1005,
         "warning",
