--- a/dockmux/clock/gossip_endpoint.py
+++ b/dockmux/clock/gossip_endpoint.py
@@ -66,7 +66,7 @@
             self.host.sleep(wait=min(POLL_INTERVAL, self._exchange_interval()))
             gap = self.host.elapsed() - now
             if gap > FREEZE_THRESHOLD:
-                self.host.log(LogEvent.CLOCK_FROZE, gapMs=to_ms(gap))
+                self.host.log(LogEvent.CLOCK_PAUSED, gapMs=to_ms(gap))
                 self.open_requests.clear()
                 self.clock.mark_unsynchronized()
 
@@ -120,7 +120,7 @@
             arrived = self.host.elapsed()
             try:
                 message = codec.decode(data=unpack(datagram=data))
-            except (codec.Malformed, FrameError) as error:
+            except (codec.MessageFormatError, FrameError) as error:
                 self.host.log(LogEvent.BAD_FRAME, error=error)
                 continue
             if isinstance(message, ClockAsk):
@@ -183,7 +183,7 @@
         was_unsynchronized = not self.clock.synchronized
         adopted = self.clock.process_sample(sample=sample)
         if was_unsynchronized and adopted:
-            self.host.log(LogEvent.CLOCK_JOINED, peer=reply.sender.name, boundMs=to_ms(self.clock.bound()))
+            self.host.log(LogEvent.CLOCK_SYNCHRONIZED, peer=reply.sender.name, boundMs=to_ms(self.clock.bound()))
         elif not was_unsynchronized:
             self.exchange_rate.record(offset=sample.offset, adopted=adopted)
 
--- a/dockmux/platform_proxy/config_tracker.py
+++ b/dockmux/platform_proxy/config_tracker.py
@@ -99,7 +99,7 @@
         if config.mark <= self.mark or "text" not in config.tree:
             return
         self.config, self.table = config, self.protocol.parse_config(text=config.tree["text"])
-        self.host.log(LogEvent.VERSION_IN_USE, version=config.version)
+        self.host.log(LogEvent.CONFIG_IN_USE, version=config.version)
         self.config_changed.notify_all()
 
     def poll_peer(self, *, address: str) -> None:
--- a/dockmux/platform_proxy/edge.py
+++ b/dockmux/platform_proxy/edge.py
@@ -69,7 +69,7 @@
         """Opens the daemon's sockets and runs its tasks while the context is open."""
         host, settings, deployment = self.host, self.settings, self.deployment
         with (
-            host.datagrams(address=settings.address) as port,
+            host.open_datagram_socket(address=settings.address) as port,
             host.listen(address=settings.address) as listener,
             host.listen(address=deployment.http_address) as front,
             host.listen(address=deployment.readyz_address) as ready,
@@ -103,7 +103,7 @@
             rpc_server = RpcServer(
                 host=host,
                 listener=listener,
-                answers={NewsAsk: self.config_tracker.on_news, DirectoryAsk: self.on_directory},
+                handlers={NewsAsk: self.config_tracker.on_news, DirectoryAsk: self.on_directory},
             )
             for task in (
                 rpc_server.run, self.gossip.run_receiving, self.gossip.run_clock_exchanges, self.config_tracker.run,
@@ -142,7 +142,7 @@
         if exchange.path == self.protocol.ready_path:
             if self.is_ready():
                 return exchange.reply(status=200, fields={"ready": True})
-            return exchange.conclude(outcome=Outcome(kind=OutcomeKind.NOT_READY, detail={"why": "see /status"}))
+            return exchange.respond(outcome=Outcome(kind=OutcomeKind.NOT_READY, detail={"why": "see /status"}))
         if exchange.path == "/metrics":
             values = {
                 "open": self.table.open,
@@ -157,7 +157,7 @@
             return metrics.page(exchange=exchange, values=values, outcomes=self.table.outcomes())
         if exchange.path == "/status":
             return exchange.reply(status=200, fields=self.status())
-        return exchange.conclude(outcome=Outcome(kind=OutcomeKind.NOT_FOUND, detail={"path": exchange.path}))
+        return exchange.respond(outcome=Outcome(kind=OutcomeKind.NOT_FOUND, detail={"path": exchange.path}))
 
     def status(self) -> dict[str, object]:
         """The fields of the status page."""
@@ -220,7 +220,7 @@
         if self.config_tracker.table is not None:
             limits = self.config_tracker.table.limits
             self.served.limits = HeadLimits(
-                size_bytes=limits.header_bytes, span=limits.header_timeout, idle=limits.idle_timeout
+                size_bytes=limits.header_bytes, read_timeout=limits.header_timeout, idle_timeout=limits.idle_timeout
             )
 
     def _receive_messages(self) -> None:
--- a/dockmux/platform_proxy/engine_health.py
+++ b/dockmux/platform_proxy/engine_health.py
@@ -68,7 +68,7 @@
         if row is None or row.healthy:
             return
         now = self.host.elapsed()
-        self.host.log(LogEvent.ENGINE_WELL, engine=engine)
+        self.host.log(LogEvent.ENGINE_RECOVERED, engine=engine)
         self.rows[engine] = HealthObservation(
             healthy=True, observed_at=now, failing_until=now, failures=0, is_local=True
         )
--- a/tests/engine_health_test.py
+++ b/tests/engine_health_test.py
@@ -15,7 +15,7 @@
     assert engine_health.is_failing(engine="e") and engine_health.due_for_probe() == ["e"]
     engine_health.note_success(engine="e")
     assert not engine_health.is_failing(engine="e") and engine_health.due_for_probe() == []
-    assert host.logged == [LogEvent.ENGINE_FAILING, LogEvent.ENGINE_WELL]
+    assert host.logged == [LogEvent.ENGINE_FAILING, LogEvent.ENGINE_RECOVERED]
 
 
 def test_the_probe_delay_grows_up_to_a_maximum():
