--- a/dockmux/platform_proxy/config_tracker.py
+++ b/dockmux/platform_proxy/config_tracker.py
@@ -69,7 +69,8 @@
         # The first poll returns at once, so that a dead daemon is detected early.
         hold_ms, timeout = (LONG_POLL_MS, LONG_POLL_TIMEOUT) if self.connected else (0, FIRST_POLL_TIMEOUT)
         request = NewsAsk(
-            mark=self.mark, holdMs=hold_ms, sender=self.gossip.peers.own_card(), newest=True, members=self.members_digest
+            mark=self.mark, holdMs=hold_ms, sender=self.gossip.peers.own_card(), newest=True,
+            members=self.members_digest,
         )  # fmt: skip
         try:
             reply = self.rpc_client.call(address=address, request=request, wait=timeout)
