--- a/dockmux/control/chain_replica.py
+++ b/dockmux/control/chain_replica.py
@@ -6,7 +6,7 @@
 
 from eventlet.event import Event
 
-from dockmux.clock.gossip import Gossip
+from dockmux.clock.gossip_endpoint import GossipEndpoint
 from dockmux.control.replica_store import ReplicaStore
 from dockmux.control.sessions import Sessions, Shared
 from dockmux.control.state import State
@@ -25,7 +25,7 @@
     WriteReply,
 )  # fmt: skip
 from dockmux.runtime.outcomes import Outcome, OutcomeKind
-from dockmux.runtime.record_log import Unsure
+from dockmux.runtime.record_log import AppendOutcomeUnknown
 from dockmux.runtime.rpc import RpcClient
 from dockmux.runtime.settings_type import Settings
 from dockmux.runtime.time_units import ZERO, instant_us, ms, to_us, us
@@ -77,7 +77,7 @@
         settings: Settings,
         store: ReplicaStore,
         agreement: ViewAgreement,
-        gossip: Gossip,
+        gossip: GossipEndpoint,
         rpc_client: RpcClient,
     ) -> None:
         self.host = host
@@ -232,7 +232,7 @@
                 for write in answered:
                     why = {"why": "what it was judged by could not be stored"}
                     write.done.send(Outcome(kind=OutcomeKind.NO_MAJORITY, detail=why))
-                kind = OutcomeKind.UNKNOWN if isinstance(error, Unsure) else OutcomeKind.DISK_FULL
+                kind = OutcomeKind.UNKNOWN if isinstance(error, AppendOutcomeUnknown) else OutcomeKind.DISK_FULL
                 for write in accepted:
                     write.done.send(Outcome(kind=kind, detail={"why": str(error)}))
                 raise
@@ -254,7 +254,7 @@
     def _judge(self, *, write: Write, planned: State) -> Outcome | None:
         """Why a change is refused; None when it is taken. Fills in what only the head can know."""
         change = write.change
-        nowUs = instant_us(self.gossip.clock.use())
+        nowUs = instant_us(self.gossip.clock.issue_time())
         if change["kind"] == "config":
             refused = judge_version(change=change, planned=planned)
             if refused is not None:
@@ -271,7 +271,7 @@
             if held is not None:
                 return Outcome(kind=OutcomeKind.CLAIMED, detail={"holder": held})
             if len(planned.claims) >= self.settings.claim_limit:
-                return Outcome(kind=OutcomeKind.BUSY, detail={"why": "claims are full"}, retryMs=60_000)
+                return Outcome(kind=OutcomeKind.BUSY, detail={"why": "claims are full"}, retry_ms=60_000)
         return None
 
     # Passing on.
--- a/dockmux/control/core.py
+++ b/dockmux/control/core.py
@@ -7,14 +7,14 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.clock.gossip import Gossip
-from dockmux.clock.peers import Peers, members_digest
+from dockmux.clock.gossip_endpoint import GossipEndpoint
+from dockmux.clock.peer_table import PeerTable, members_digest
 from dockmux.control.chain_replica import ChainReplica
 from dockmux.control.engine_scheduler import EngineScheduler
 from dockmux.control.joining import Joining
 from dockmux.control.replica_store import ReplicaStore
 from dockmux.control.view_agreement import ViewAgreement
-from dockmux.gossip.spread import Spread
+from dockmux.gossip.usage_gossip import UsageGossip
 from dockmux.runtime import metrics, schemas
 from dockmux.runtime.config_tree import explain, validate
 from dockmux.runtime.engine_connections import EngineConnectionPool
@@ -58,7 +58,7 @@
             name=settings.name, role="core", site=settings.site, address=settings.address,
             http=settings.http, incarnation=incarnation, ageMs=0,
         )  # fmt: skip
-        self.peers = Peers(host=host, settings=settings, card=card)
+        self.peers = PeerTable(host=host, settings=settings, card=card)
         self.digest, self.digest_at = "", -DIGEST_KEPT
         # Further tasks of this daemon, which look at the permit themselves.
         self.duties: list[Callable[[], None]] = []
@@ -73,7 +73,7 @@
         self.store.open()
         self.peers.card = dataclasses.replace(self.peers.card, disk=self.store.disk)
         with (
-            host.datagrams(address=settings.address) as port,
+            host.open_datagram_socket(address=settings.address) as port,
             host.listen(address=settings.address) as listener,
             host.listen(address=settings.http) as web_listener,
             RpcClient(host=host) as rpc_client,
@@ -81,7 +81,7 @@
             TaskGroup(host=host) as task_group,
         ):
             self.task_group, self.rpc_client = task_group, rpc_client
-            self.gossip = Gossip(host=host, settings=settings, peers=self.peers, port=port)
+            self.gossip = GossipEndpoint(host=host, settings=settings, peers=self.peers, port=port)
             self.agreement = ViewAgreement(
                 host=host,
                 settings=settings,
@@ -98,16 +98,20 @@
             joining = self.joining = Joining(
                 host=host, store=self.store, agreement=agreement, chain=chain, rpc_client=rpc_client
             )
-            self.spread = Spread(
-                host=host, settings=settings, gossip=self.gossip, task_group=task_group, follower=chain.state
+            self.usage_gossip = UsageGossip(
+                host=host, settings=settings, gossip=self.gossip, task_group=task_group, engine_list=chain.state
             )
             scheduler = EngineScheduler(
-                host=host, agreement=agreement, connection_pool=connection_pool, chain=chain, table=self.spread.table
+                host=host,
+                agreement=agreement,
+                connection_pool=connection_pool,
+                chain=chain,
+                table=self.usage_gossip.table,
             )
             rpc_server = RpcServer(
                 host=host,
                 listener=listener,
-                answers={
+                handlers={
                     FoundAsk: agreement.on_found,
                     PromiseAsk: agreement.on_promise,
                     AcceptAsk: agreement.on_accept,
@@ -121,9 +125,9 @@
                 },
             )
             for task in (
-                rpc_server.run, self.gossip.run_receiving, self.gossip.run_asking, agreement.run_grants,
+                rpc_server.run, self.gossip.run_receiving, self.gossip.run_clock_exchanges, agreement.run_grants,
                 agreement.run_mending, chain.run_head, chain.run_confirming, joining.run, chain.run_upkeep,
-                self.spread.run, self.run_duties, scheduler.run,
+                self.usage_gossip.run, self.run_duties, scheduler.run,
             ):  # fmt: skip
                 task_group.supervise(task=task)
             for duty in self.duties:
@@ -137,7 +141,7 @@
         """Has this member leave the chain by agreement; counts what its stop still has to wait for."""
         if not self.agreement.leaving:
             self.agreement.leaving = True
-            self.host.log(LogEvent.LEAVING, mark=self.chain.synced)
+            self.host.log(LogEvent.CORE_LEAVING, mark=self.chain.synced)
         return self.agreement.must_stay() + self.chain.open_writes
 
     # Duties that go with the head, under its permit.
@@ -150,24 +154,24 @@
             if not (self.agreement.is_head() and self.agreement.holds_lease()):
                 waiting_since = None
                 if clock.hops == 0:
-                    clock.follow()
-                    self.host.log(LogEvent.SOURCE_LEFT)
+                    clock.stop_being_source()
+                    self.host.log(LogEvent.TIME_SOURCE_STOPPED)
                 continue
             mark = self.agreement.view.number
             if clock.hops == 0 and clock.source_mark == mark:
                 continue
             waiting_since = self.host.elapsed() if waiting_since is None else waiting_since
             waited = self.host.elapsed() - waiting_since
-            if not clock.synchronized and waited < JOIN_PATIENCE and not self.gossip.nobody_has_the_time():
+            if not clock.synchronized and waited < JOIN_PATIENCE and not self.gossip.all_peers_unsynchronized():
                 continue  # Somebody may still have it: two times under one mark would lie apart.
-            clock.lead(mark=mark, not_before=self.chain.planned.latest_time())
-            self.host.log(LogEvent.SOURCE_TAKEN, mark=mark)
+            clock.become_source(mark=mark, not_before=self.chain.planned.latest_time())
+            self.host.log(LogEvent.TIME_SOURCE_STARTED, mark=mark)
 
     # News for data daemons.
 
     def _members(self) -> list[PeerCard]:
-        cores = [card for card in self.peers.live() if card.role == "core"]
-        return [*self.chain.sessions.standing(), *cores, self.peers.me()]
+        cores = [card for card in self.peers.live_cards_with_age() if card.role == "core"]
+        return [*self.chain.sessions.standing(), *cores, self.peers.own_card()]
 
     def _members_digest(self) -> str:
         """Worked out anew once in a while, for as many ask as there are members."""
@@ -214,24 +218,24 @@
     def handle_http(self, exchange: HttpExchange) -> list[bytes]:
         method, path = exchange.method, exchange.path
         if path == "/config" and method == "PUT":
-            return exchange.conclude(outcome=self._put_config(exchange=exchange))
+            return exchange.respond(outcome=self._put_config(exchange=exchange))
         if path == "/engines" and method == "PUT":
-            return exchange.conclude(outcome=self._put_engines(exchange=exchange))
+            return exchange.respond(outcome=self._put_engines(exchange=exchange))
         if path == "/metrics" and method == "GET":
             return metrics.page(exchange=exchange, values=self._values(), outcomes={})
         if path not in ("/config", "/engines", "/status", "/clock", "/history") and not path.startswith(
             ("/config/", "/explain/")
         ):
-            return exchange.conclude(outcome=Outcome(kind=OutcomeKind.NOT_FOUND, detail={"path": path}))
+            return exchange.respond(outcome=Outcome(kind=OutcomeKind.NOT_FOUND, detail={"path": path}))
         if method != "GET":
-            return exchange.conclude(outcome=Outcome(kind=OutcomeKind.BAD_METHOD, detail={"method": method}))
+            return exchange.respond(outcome=Outcome(kind=OutcomeKind.BAD_METHOD, detail={"method": method}))
         if path == "/clock":
             return exchange.reply(status=200, fields=self.gossip.report())
         if path == "/status":
             return exchange.reply(status=200, fields=self.status())
         if not self.chain.confirm():
             why = {"why": "the tail did not confirm under its permit"}
-            return exchange.conclude(outcome=Outcome(kind=OutcomeKind.NO_MAJORITY, detail=why))
+            return exchange.respond(outcome=Outcome(kind=OutcomeKind.NO_MAJORITY, detail=why))
         return self._read(exchange=exchange)
 
     def _read(self, *, exchange: HttpExchange) -> list[bytes]:
@@ -250,21 +254,21 @@
             site = exchange.environ.get("QUERY_STRING", "").removeprefix("site=")
             told = explain(tree=state.config.tree, lane=path[9:], site=site) if state.config else None
             if told is None:
-                return exchange.conclude(outcome=Outcome(kind=OutcomeKind.UNKNOWN_LANE, detail={"lane": path[9:]}))
+                return exchange.respond(outcome=Outcome(kind=OutcomeKind.UNKNOWN_LANE, detail={"lane": path[9:]}))
             return exchange.reply(status=200, fields={"mark": state.config.mark, "lane": path[9:], "values": told})
         wanted = path[8:] or str(state.config.mark)
         for config in state.configs:
             if str(config.mark) == wanted:
                 fields = {"mark": config.mark, "tree": config.tree, "activate": config.activate.isoformat()}
                 return exchange.reply(status=200, fields=fields, headers=[("ETag", f'"{config.mark}"')])
-        return exchange.conclude(outcome=Outcome(kind=OutcomeKind.NOT_FOUND, detail={"mark": wanted}))
+        return exchange.respond(outcome=Outcome(kind=OutcomeKind.NOT_FOUND, detail={"mark": wanted}))
 
     def _body(self, *, exchange: HttpExchange) -> Any:
         if exchange.content_type != "application/json":
             return Outcome(
                 kind=OutcomeKind.BAD_TYPE, detail={"found": exchange.content_type, "allowed": "application/json"}
             )
-        data = exchange.body(limitBytes=self.settings.bodyLimitKb * 1024)
+        data = exchange.body(limit_bytes=self.settings.bodyLimitKb * 1024)
         if data is None:
             return Outcome(kind=OutcomeKind.TOO_LARGE, detail={"limitKb": self.settings.bodyLimitKb})
         try:
--- a/dockmux/native_proxy/edge.py
+++ b/dockmux/native_proxy/edge.py
@@ -9,9 +9,9 @@
 
 import urllib3.exceptions
 
-from dockmux.clock.gossip import Gossip
-from dockmux.clock.peers import Peers
-from dockmux.gossip.spread import Spread
+from dockmux.clock.gossip_endpoint import GossipEndpoint
+from dockmux.clock.peer_table import PeerTable
+from dockmux.gossip.usage_gossip import UsageGossip
 from dockmux.native_proxy.follower import Follower
 from dockmux.native_proxy.request_record import RequestRecord, Step, not_refused
 from dockmux.native_proxy.stages import BUCKETS
@@ -52,7 +52,7 @@
             name=settings.name, role="edge", site=settings.site, address=settings.address,
             http=settings.http, incarnation=self.incarnation, ageMs=0,
         )  # fmt: skip
-        self.peers = Peers(host=host, settings=settings, card=card)
+        self.peers = PeerTable(host=host, settings=settings, card=card)
         self.holder = f"{settings.http} {self.incarnation}"
         self.draining = False
 
@@ -60,7 +60,7 @@
     def running(self) -> Iterator["Edge"]:
         host, settings = self.host, self.settings
         with (
-            host.datagrams(address=settings.address) as port,
+            host.open_datagram_socket(address=settings.address) as port,
             host.listen(address=settings.address) as listener,
             host.listen(address=settings.http) as web_listener,
             RpcClient(host=host) as rpc_client,
@@ -68,24 +68,25 @@
             TaskGroup(host=host) as task_group,
         ):
             self.task_group = task_group
-            self.gossip = Gossip(host=host, settings=settings, peers=self.peers, port=port)
+            self.gossip = GossipEndpoint(host=host, settings=settings, peers=self.peers, port=port)
             self.follower = Follower(host=host, settings=settings, gossip=self.gossip, rpc_client=rpc_client)
-            self.spread = Spread(
+            self.usage_gossip = UsageGossip(
                 host=host,
                 settings=settings,
                 gossip=self.gossip,
                 task_group=task_group,
                 connection_pool=connection_pool,
-                follower=self.follower,
+                engine_list=self.follower,
             )
             self.table = Table(
-                host=host, settings=settings, gossip=self.gossip, follower=self.follower, spread=self.spread,
-                connection_pool=connection_pool, rpc_client=rpc_client, task_group=task_group, holder=self.holder,
+                host=host, settings=settings, gossip=self.gossip, follower=self.follower,
+                usage_gossip=self.usage_gossip, connection_pool=connection_pool, rpc_client=rpc_client,
+                task_group=task_group, holder=self.holder,
             )  # fmt: skip
-            rpc_server = RpcServer(host=host, listener=listener, answers={NewsAsk: self.follower.on_news})
+            rpc_server = RpcServer(host=host, listener=listener, handlers={NewsAsk: self.follower.on_news})
             for task in (
-                rpc_server.run, self.gossip.run_receiving, self.gossip.run_asking, self.follower.run,
-                self.spread.run, self.table.run,
+                rpc_server.run, self.gossip.run_receiving, self.gossip.run_clock_exchanges, self.follower.run,
+                self.usage_gossip.run, self.table.run,
             ):  # fmt: skip
                 task_group.supervise(task=task)
             task_group.supervise(task=serve, host=host, listener=web_listener, handler=self.handle_http)
@@ -102,7 +103,7 @@
     def handle_http(self, exchange: HttpExchange) -> Iterable[bytes]:
         if exchange.path.startswith("/lanes/"):
             if exchange.method != "POST":
-                return exchange.conclude(
+                return exchange.respond(
                     outcome=Outcome(kind=OutcomeKind.BAD_METHOD, detail={"method": exchange.method})
                 )
             return self._lane(exchange=exchange, lane=exchange.path[7:])
@@ -114,24 +115,26 @@
                 "ready": self.follower.current() is not None,
                 "permitted": self.follower.permitted(),
                 "clock_bound_seconds": self.gossip.clock.bound().total_seconds(),
-                "peers": len(self.peers.standing()),
+                "peers": len(self.peers.live_cards()),
                 "tasks_failed": self.task_group.failed,
             }
             staged = self.table.stages()
             ends = [end.total_seconds() for end in BUCKETS]
-            spreads = {
-                stage: metrics.Spread(ends=ends, counts=counts, total=staged.total[stage].total_seconds())
+            histograms = {
+                stage: metrics.StageHistogram(
+                    upper_bounds=ends, counts=counts, total=staged.total[stage].total_seconds()
+                )
                 for stage, counts in staged.counts.items()
             }
-            return metrics.page(exchange=exchange, values=values, outcomes=self.table.outcomes(), spreads=spreads)
+            return metrics.page(exchange=exchange, values=values, outcomes=self.table.outcomes(), histograms=histograms)
         if exchange.method == "GET" and exchange.path == "/status":
             return exchange.reply(status=200, fields=self.status())
-        return exchange.conclude(outcome=Outcome(kind=OutcomeKind.NOT_FOUND, detail={"path": exchange.path}))
+        return exchange.respond(outcome=Outcome(kind=OutcomeKind.NOT_FOUND, detail={"path": exchange.path}))
 
     def _lane(self, *, exchange: HttpExchange, lane: str) -> Iterable[bytes]:
         body = self._body(exchange=exchange)
         if isinstance(body, Outcome):
-            return exchange.conclude(outcome=body)
+            return exchange.respond(outcome=body)
         named = exchange.header(name="Idempotency-Key")
         identity = named or f"{self.host.random.getrandbits(128):032x}"
         attempt = exchange.header(name="Dockmux-Attempt")
@@ -145,25 +148,25 @@
         if attempt and not attempt.isdigit():
             wrong.append({"path": "Dockmux-Attempt", "error": "allowed: a whole number, 1 for the first"})
         if wrong:
-            return exchange.conclude(outcome=Outcome(kind=OutcomeKind.BAD_FIELD, detail={"errors": wrong}))
+            return exchange.respond(outcome=Outcome(kind=OutcomeKind.BAD_FIELD, detail={"errors": wrong}))
         config = Outcome(kind=OutcomeKind.DRAINING) if self.draining else self._config()
         if isinstance(config, Outcome):
-            return exchange.conclude(outcome=not_refused(outcome=config) if repeat else config)
+            return exchange.respond(outcome=not_refused(outcome=config) if repeat else config)
         values = resolve(tree=config.tree, lane=lane, site=self.settings.site)
         if values is None:
             gone = Outcome(kind=OutcomeKind.UNKNOWN_LANE, detail={"lane": lane})
             known = any(lane in config.tree["lanes"] for config in self.follower.configs)
-            return exchange.conclude(outcome=not_refused(outcome=gone) if repeat and known else gone)
+            return exchange.respond(outcome=not_refused(outcome=gone) if repeat and known else gone)
         if int(first) and values["run"] != "resumable":
             why = "this lane's streams are not resumable: begin anew"
-            return exchange.conclude(outcome=Outcome(kind=OutcomeKind.CHANGED, detail={"why": why}))
+            return exchange.respond(outcome=Outcome(kind=OutcomeKind.CHANGED, detail={"why": why}))
         record = self._record(
             lane=lane, identity=identity, repeat=repeat, body=body, config=config, values=values, first=int(first),
             resumed=exchange.header(name="Dockmux-Resume-Of"),
         )  # fmt: skip
         if isinstance(record, Outcome):
             told = record if record.kind is OutcomeKind.BAD_IDENTITY or not repeat else not_refused(outcome=record)
-            return exchange.conclude(outcome=told)
+            return exchange.respond(outcome=told)
         attached = bool(exchange.header(name="Dockmux-Attach"))
         return self._stream(exchange=exchange, record=record, first=int(first), attached=attached)
 
@@ -171,7 +174,7 @@
         if exchange.content_type != "application/json":
             allowed = {"found": exchange.content_type, "allowed": "application/json"}
             return Outcome(kind=OutcomeKind.BAD_TYPE, detail=allowed)
-        data = exchange.body(limitBytes=self.settings.bodyLimitKb * 1024)
+        data = exchange.body(limit_bytes=self.settings.bodyLimitKb * 1024)
         if data is None:
             return Outcome(kind=OutcomeKind.TOO_LARGE, detail={"limitKb": self.settings.bodyLimitKb})
         try:
@@ -214,7 +217,7 @@
         leftMs = min(values["horizonMs"], body.get("horizonMs", values["horizonMs"]))
         fresh = RequestRecord(
             lane=lane, identity=identity, repeat=repeat, body=body, arrived=self.host.elapsed(),
-            horizon=self.gossip.clock.use() + ms(leftMs), mark=config.mark, values=values, first_piece=first,
+            horizon=self.gossip.clock.issue_time() + ms(leftMs), mark=config.mark, values=values, first_piece=first,
         )  # fmt: skip
         known = self.table.records.get(fresh.key)
         if known is not None:
@@ -236,7 +239,7 @@
         if self.table.open >= self.settings.record_limit:
             return Outcome(kind=OutcomeKind.BUSY, detail={"why": "too many requests are open here"})
         if not any(
-            engine["service"] == values["service"] and self.spread.table.fresh(engine=engine["engine"])
+            engine["service"] == values["service"] and self.usage_gossip.table.recent(engine=engine["engine"])
             for engine in self.follower.engines
         ):
             return Outcome(kind=OutcomeKind.NO_ENGINE, detail={"service": values["service"]})
@@ -265,12 +268,12 @@
                 if record.outcome is not None:
                     break
                 record.news.wait(wait=LOOK_AT_CLIENT)
-                if self.host.closed(socks=[exchange.connection]):
+                if self.host.closed_by_peer(socks=[exchange.connection]):
                     raise UserAgentLeft("its user agent has closed the connection")
             if record.outcome.kind is OutcomeKind.CLAIMED:
                 yield from self._attach(exchange=exchange, record=record, first=first, attached=attached)
             elif not begun and record.outcome.kind is not OutcomeKind.ANSWERED:
-                yield from exchange.conclude(outcome=record.outcome)
+                yield from exchange.respond(outcome=record.outcome)
             else:
                 if not begun:
                     self._begin(exchange=exchange, record=record)
@@ -289,7 +292,7 @@
         if outcome.kind is OutcomeKind.ANSWERED:
             told |= {"complete": True, "first": first, "digest": record.digest(first=first)}
         else:
-            told |= {"complete": False, "retryMs": outcome.retryMs, **outcome.detail}
+            told |= {"complete": False, "retryMs": outcome.retry_ms, **outcome.detail}
         return json.dumps(told).encode() + b"\n"
 
     def _attach(self, *, exchange: HttpExchange, record: RequestRecord, first: int, attached: bool) -> Iterator[bytes]:
@@ -299,20 +302,20 @@
         unknown = Outcome(kind=OutcomeKind.UNKNOWN, detail=TAKEN_BEFORE)
         address = holder.partition(" ")[0]
         if attached or holder == self.holder or address == self.settings.http:
-            yield from exchange.conclude(outcome=unknown)
+            yield from exchange.respond(outcome=unknown)
             return
         begun = False
         try:
             with HttpClientConnection(host=self.host, address=address, wait=ATTACH_LIMIT) as stream:
                 stream.connect()
-                stream.timeout = max((record.horizon - self.gossip.clock.use()).total_seconds(), 0.1)
+                stream.timeout = max((record.horizon - self.gossip.clock.issue_time()).total_seconds(), 0.1)
                 headers = {"Idempotency-Key": record.identity, "Dockmux-Attach": "1"}
                 response = stream.call(method="POST", path=f"/lanes/{record.lane}", fields=record.body, headers=headers)
                 if response.status != 200:
                     told = json.loads(response.read())
                     kind = OutcomeKind(told.pop("outcome"))
                     outcome = Outcome(kind=kind, detail=told) if kind in ATTACH_KINDS else unknown
-                    yield from exchange.conclude(outcome=outcome)
+                    yield from exchange.respond(outcome=outcome)
                     return
                 for line in response:
                     if not begun:
@@ -322,7 +325,7 @@
         except (OSError, urllib3.exceptions.HTTPError, ValueError, KeyError):
             if begun:
                 raise  # The stream breaks off without its last line.
-            yield from exchange.conclude(outcome=unknown)
+            yield from exchange.respond(outcome=unknown)
 
     def status(self) -> dict[str, Any]:
         config = self.follower.current()
@@ -346,7 +349,7 @@
                     "queued": usage.queued, "leaving": usage.leaving, "reachable": usage.reachable,
                     "ageMs": usage.ageMs,
                 }
-                for usage in self.spread.table.summary()
+                for usage in self.usage_gossip.table.summary()
             ],
             "tasks_failed": self.task_group.failed,
         }  # fmt: skip
--- a/dockmux/scale_model/recovery.py
+++ b/dockmux/scale_model/recovery.py
@@ -15,7 +15,9 @@
 
 def wait_in_force(*, made: GaugeFleet, names: list[str]) -> None:
     began = made.world.now()
-    while not all(made.edges[n].tracker.table and made.edges[n].tracker.table.version == made.version for n in names):
+    while not all(
+        made.edges[n].config_tracker.table and made.edges[n].config_tracker.table.version == made.version for n in names
+    ):
         if made.world.now() - began > LIMIT:
             raise TimeoutError(f"version {made.version} is not in force")
         made.operator.sleep(wait=ms(10))
@@ -40,7 +42,7 @@
     began = made.world.now()
     gone = {made.edges[name].settings.address for name in names}
     left = [edge for name, edge in made.edges.items() if name not in names]
-    while any(gone & {card.address for card in edge.peers.standing()} for edge in left):
+    while any(gone & {card.address for card in edge.peers.live_cards()} for edge in left):
         if made.world.now() - began > LIMIT:
             raise TimeoutError("the lost are still peers")
         made.operator.sleep(wait=ms(50))
@@ -107,7 +109,7 @@
     in_force = made.world.now() - began
     made.operator.sleep(wait=apart)
     ready = sum(made.edges[name].is_ready() for name in minority)
-    old = sum(made.edges[name].tracker.table.version == before for name in minority)
+    old = sum(made.edges[name].config_tracker.table.version == before for name in minority)
     made.reset()
     made.world.cuts.clear()
     began = made.world.now()
