--- a/dockmux/platform_proxy/connection_pool.py
+++ b/dockmux/platform_proxy/connection_pool.py
@@ -104,7 +104,7 @@
             raise ConnectError(reason=f"{engine} refused the connection: {error}", refused=True) from None
         except (OSError, urllib3.exceptions.HTTPError) as error:
             connection.close()
-            raise ConnectError(reason=f"cannot connect to {engine}: {error}") from None
+            raise ConnectError(reason=f"{engine} is unreachable: {error}") from None
         self.opened += 1
         return connection
 
