--- a/tests/answer_head_test.py
+++ b/tests/answer_head_test.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from tests.standins.client import Seen
+from tests.standins.client import Attempt
 from tests.standins.engine import event, stream_body
 from tests.standins.fleet import Fleet, fleet
-from tests.standins.operator import configuration, packed
+from tests.standins.operator import configuration, serialize
 
 EVENTS = 12
 TRIES = 3
@@ -23,23 +23,23 @@
 
 @contextmanager
 def fleet_of_three_tries() -> Iterator[Fleet]:
-    """Three decode engines, routes with three tries, and a retry budget that allows them."""
+    """Three decode engines, routes with three attempts, and a retry budget that allows them."""
     with fleet(seed=41, phases="ddd", extra=1000) as made:
         fields = configuration(gen=2)
         for row in fields["rtab"]:
             row["tries"] = TRIES
-        assert made.operator.put(text=packed(fields=fields), base=1) == 200, json.dumps(fields)
+        assert made.operator.put(text=serialize(fields=fields), base=1) == 200, json.dumps(fields)
         made.sleep(seconds=2)
         yield made
 
 
-def send(*, made: Fleet, sequence: list[str], path: str = "/notes/a", tokens_out: int = EVENTS) -> Seen:
+def send(*, made: Fleet, sequence: list[str], path: str = "/notes/a", tokens_out: int = EVENTS) -> Attempt:
     made.faults.sequence = list(sequence)
-    seen = made.send(path=path, tokens_out=tokens_out, tokens_in=100)
+    attempt = made.send(path=path, tokens_out=tokens_out, tokens_in=100)
     made.faults.sequence = []
     # Long enough for engines marked as failing to be health-checked.
     made.sleep(seconds=1.5)
-    return seen
+    return attempt
 
 
 @pytest.mark.parametrize("status", STATUSES)
@@ -51,14 +51,14 @@
         for body in BODIES:
             made.faults.failure_body = body
             resumed = send(made=made, sequence=["break off", "failure"])
-            assert resumed.right, (body, resumed.status, resumed.whole, resumed.body)
+            assert resumed.is_correct, (body, resumed.status, resumed.complete, resumed.body)
             assert len(made.record.runs(request_id=resumed.request.request_id)) == TRIES
             given_up = send(made=made, sequence=["break off", "failure", "failure"])
-            assert given_up.status == 200 and not given_up.whole, (body, given_up.body)
-            own = stream_body(request_id=given_up.request.request_id, count=made.faults.after)
+            assert given_up.status == 200 and not given_up.complete, (body, given_up.body)
+            own = stream_body(request_id=given_up.request.request_id, count=made.faults.after_events)
             assert given_up.body == own
-            assert made.wrong(tries=[resumed, given_up]) == []
-        made.sound()
+            assert made.violations(attempts=[resumed, given_up]) == []
+        made.assert_no_failures()
 
 
 @pytest.mark.parametrize("cut", (False, True))
@@ -66,9 +66,9 @@
     """Guards against the beginning of a failure's body being appended to a stream (ORDER)."""
     with fleet_of_three_tries() as made:
         made.faults.failure_body, made.faults.failure_cut = LIKE_AN_EVENT * 4, cut
-        seen = send(made=made, sequence=["break off", "failure"])
-        assert seen.right and made.wrong(tries=[seen]) == []
-        made.sound()
+        attempt = send(made=made, sequence=["break off", "failure"])
+        assert attempt.is_correct and made.violations(attempts=[attempt]) == []
+        made.assert_no_failures()
 
 
 @pytest.mark.parametrize("status", STATUSES)
@@ -81,42 +81,42 @@
             for chunked in (False, True):
                 made.faults.failure_body, made.faults.failure_chunked = body, chunked
                 out = 0 if path.startswith(("/check/", "/write/")) else EVENTS
-                seen = send(made=made, sequence=["failure"], path=path, tokens_out=out)
-                (run,) = made.record.runs(request_id=seen.request.request_id)
-                assert (seen.status, seen.body, seen.whole, seen.surplus) == (status, body, True, b"")
-                assert seen.headers["x-seal"].startswith(run.engine + ".")
-        made.sound()
+                attempt = send(made=made, sequence=["failure"], path=path, tokens_out=out)
+                (run,) = made.record.runs(request_id=attempt.request.request_id)
+                assert (attempt.status, attempt.body, attempt.complete, attempt.surplus) == (status, body, True, b"")
+                assert attempt.headers["x-seal"].startswith(run.engine + ".")
+        made.assert_no_failures()
 
 
 def test_a_truncated_first_failure_is_not_continued_by_another_engine():
     """Guards against an answer that joins the beginning of a failure to the events of another run (MIXED)."""
     with fleet_of_three_tries() as made:
         made.faults.failure_body, made.faults.failure_cut = BLANK_LINE * 4, True
-        seen = send(made=made, sequence=["failure"])
-        assert not seen.whole and len(made.record.runs(request_id=seen.request.request_id)) == 1
-        made.sound()
+        attempt = send(made=made, sequence=["failure"])
+        assert not attempt.complete and len(made.record.runs(request_id=attempt.request.request_id)) == 1
+        made.assert_no_failures()
 
 
 def test_a_streams_head_is_sent_with_its_first_complete_event():
     """Guards against a seal of another engine than the one whose events follow, and against an error response of the
     server library: as nothing was relayed yet, the daemon sends its own outcome (MIXED)."""
     with fleet_of_three_tries() as made:
-        seen = send(made=made, sequence=["break off early"])
-        last = made.record.runs(request_id=seen.request.request_id)[-1]
-        assert seen.right and seen.headers["x-seal"].startswith(last.engine + ".")
+        attempt = send(made=made, sequence=["break off early"])
+        last = made.record.runs(request_id=attempt.request.request_id)[-1]
+        assert attempt.is_correct and attempt.headers["x-seal"].startswith(last.engine + ".")
         given_up = send(made=made, sequence=["break off early"] * TRIES)
-        assert (given_up.status, given_up.whole) == (502, True), (given_up.status, given_up.body)
-        made.sound()
+        assert (given_up.status, given_up.complete) == (502, True), (given_up.status, given_up.body)
+        made.assert_no_failures()
 
 
 def test_a_failure_does_not_mark_a_failing_engine_as_healthy():
     """Guards against sending requests to a failing engine again because it answered, with one more failure."""
     with fleet_of_three_tries() as made:
         verdicts = made.daemons["edge-0"].verdicts
-        seen = send(made=made, sequence=["failure"])
-        (run,) = made.record.runs(request_id=seen.request.request_id)
+        attempt = send(made=made, sequence=["failure"])
+        (run,) = made.record.runs(request_id=attempt.request.request_id)
         for engine in made.engines.values():
-            engine.well = False
+            engine.healthy = False
             verdicts.note_failure(engine=engine.engine, why="test")
         again = send(made=made, sequence=["failure"])
         assert again.status == 500
--- a/tests/answers_test.py
+++ b/tests/answers_test.py
@@ -5,7 +5,7 @@
 from dockmux.platform_proxy.dispatcher import Dispatcher
 from dockmux.platform_proxy.engine_client import EngineClient
 from dockmux.runtime.time_units import ms
-from tests.standins.client import Seen
+from tests.standins.client import Attempt
 from tests.standins.fleet import Fleet, fleet
 
 PATHS = ("/notes/a", "/once/b", "/check/c", "/write/d")
@@ -13,31 +13,31 @@
 INVALID_ANSWERS = ("another's answer", "encoded", "no seal")
 
 
-def _each(*, made: Fleet, path: str, kind: str, left: int, count: int = 6) -> list[Seen]:
+def _each(*, made: Fleet, path: str, kind: str, remaining: int, count: int = 6) -> list[Attempt]:
     """Sends `count` requests to one path, with the fault set before each."""
-    tries = []
+    attempts = []
     out = 0 if path.startswith(("/check/", "/write/")) else 12
     made.send(path=path, tokens_out=out)
     for place in range(count):
-        made.faults.kind, made.faults.left = kind, left
-        tries.append(made.send(path=path, zone=place % 3, tokens_out=out))
-        made.faults.left = 0
+        made.faults.kind, made.faults.remaining = kind, remaining
+        attempts.append(made.send(path=path, zone=place % 3, tokens_out=out))
+        made.faults.remaining = 0
         # Long enough for engines marked as failing to be health-checked.
         made.sleep(seconds=1.1)
-    return tries
+    return attempts
 
 
 def test_a_non_repeatable_request_is_neither_rerun_nor_refused_after_its_engine_broke_off():
     with fleet(seed=11) as made:
-        tries = []
+        attempts = []
         for path in ("/once/b", "/write/d"):
             for kind in BREAKS:
-                tries += _each(made=made, path=path, kind=kind, left=1, count=3)
-        assert made.wrong(tries=tries) == []
-        for seen in tries:
-            assert not seen.right and not seen.refused
-            assert len(made.record.runs(request_id=seen.request.request_id)) == 1
-        made.sound()
+                attempts += _each(made=made, path=path, kind=kind, remaining=1, count=3)
+        assert made.violations(attempts=attempts) == []
+        for attempt in attempts:
+            assert not attempt.is_correct and not attempt.refused
+            assert len(made.record.runs(request_id=attempt.request.request_id)) == 1
+        made.assert_no_failures()
 
 
 def test_without_the_check_before_a_send_a_request_would_run_twice(monkeypatch):
@@ -49,64 +49,64 @@
 
     monkeypatch.setattr(Dispatcher, "_completion_before_send", forgetful)
     with fleet(seed=11) as made:
-        tries = _each(made=made, path="/write/d", kind="break off early", left=1, count=3)
-        assert any("ran 2 times" in text for text in made.wrong(tries=tries))
+        attempts = _each(made=made, path="/write/d", kind="break off early", remaining=1, count=3)
+        assert any("ran 2 times" in text for text in made.violations(attempts=attempts))
 
 
 def test_another_engine_resumes_a_stream_with_each_event_once_and_in_order():
     with fleet(seed=12) as made:
         for after in (0, 1, 3, 12):
-            made.faults.after = after
-            tries = _each(made=made, path="/notes/a", kind="break off", left=1, count=2)
-            assert made.wrong(tries=tries) == []
-            for seen in tries:
-                assert seen.right, (after, seen.status, seen.body, seen.error)
-                first, second = made.record.runs(request_id=seen.request.request_id)
+            made.faults.after_events = after
+            attempts = _each(made=made, path="/notes/a", kind="break off", remaining=1, count=2)
+            assert made.violations(attempts=attempts) == []
+            for attempt in attempts:
+                assert attempt.is_correct, (after, attempt.status, attempt.body, attempt.error)
+                first, second = made.record.runs(request_id=attempt.request.request_id)
                 assert first.engine != second.engine
                 assert first.pieces + second.pieces == list(range(1, 13))
                 # Once an event was relayed, the answer keeps the head and the seal of its first engine.
-                assert not after or seen.headers["x-seal"].startswith(first.engine)
-        made.sound()
+                assert not after or attempt.headers["x-seal"].startswith(first.engine)
+        made.assert_no_failures()
 
 
 def test_a_client_resumes_after_its_last_event():
     with fleet(seed=13) as made:
-        seen = made.send(path="/notes/a", last_event=5)
-        assert seen.right and made.wrong(tries=[seen]) == []
-        made.faults.kind, made.faults.left = "break off", 1
-        seen = made.send(path="/notes/a", last_event=5)
-        assert seen.right and made.wrong(tries=[seen]) == []
-        made.sound()
+        attempt = made.send(path="/notes/a", last_event=5)
+        assert attempt.is_correct and made.violations(attempts=[attempt]) == []
+        made.faults.kind, made.faults.remaining = "break off", 1
+        attempt = made.send(path="/notes/a", last_event=5)
+        assert attempt.is_correct and made.violations(attempts=[attempt]) == []
+        made.assert_no_failures()
 
 
 def test_a_stream_whose_engines_all_break_off_does_not_look_complete():
     with fleet(seed=14) as made:
-        tries = _each(made=made, path="/notes/a", kind="break off", left=9, count=3)
-        assert made.wrong(tries=tries) == []
-        assert not any(seen.whole for seen in tries)
-        made.sound()
+        attempts = _each(made=made, path="/notes/a", kind="break off", remaining=9, count=3)
+        assert made.violations(attempts=attempts) == []
+        assert not any(attempt.complete for attempt in attempts)
+        made.assert_no_failures()
 
 
 @pytest.mark.parametrize("kind", INVALID_ANSWERS)
 def test_no_part_of_an_invalid_answer_reaches_the_client(kind):
     with fleet(seed=15) as made:
         for path in PATHS:
-            tries = _each(made=made, path=path, kind=kind, left=9, count=1)
-            assert made.wrong(tries=tries) == []
-            assert not any(seen.status == 200 or seen.refused for seen in tries)
-            once = _each(made=made, path=path, kind=kind, left=1, count=1)
-            assert made.wrong(tries=once) == []
+            attempts = _each(made=made, path=path, kind=kind, remaining=9, count=1)
+            assert made.violations(attempts=attempts) == []
+            assert not any(attempt.status == 200 or attempt.refused for attempt in attempts)
+            once = _each(made=made, path=path, kind=kind, remaining=1, count=1)
+            assert made.violations(attempts=once) == []
             repeated = path.startswith(("/notes/", "/check/"))
-            assert [seen.right for seen in once] == [repeated], path
-        made.sound()
+            assert [attempt.is_correct for attempt in once] == [repeated], path
+        made.assert_no_failures()
 
 
 @pytest.mark.parametrize("kind", INVALID_ANSWERS)
 def test_without_the_check_of_its_head_an_invalid_answer_would_reach_the_client(kind, monkeypatch):
     monkeypatch.setattr(EngineClient, "_find_defect", lambda self, *, record, answer, prefill: "")
     with fleet(seed=15) as made:
-        tries = _each(made=made, path="/check/c", kind=kind, left=1, count=1)
-        assert any("a false answer" in text for text in made.wrong(tries=tries))
+        attempts = _each(made=made, path="/check/c", kind=kind, remaining=1, count=1)
+        assert any("a false answer" in text for text in made.violations(attempts=attempts))
 
 
 @pytest.mark.parametrize("surplus", (b"", b"\x00garbage\r\n\r\n", b"HTTP/1.1 200 OK\r\n"))
@@ -115,14 +115,14 @@
     client has to repeat it, but no client may receive a false answer."""
     with fleet(seed=16, phases="d") as made:
         made.faults.surplus = surplus
-        tries = []
+        attempts = []
         for after_ms in (0, 1, 6, 40):
             made.faults.surplus_after = ms(after_ms)
             for path in PATHS:
                 out = 0 if path.startswith(("/check/", "/write/")) else 4
-                made.faults.kind, made.faults.left = "surplus", 3
+                made.faults.kind, made.faults.remaining = "surplus", 3
                 requests = [made.request(path=path, tokens_out=out, tokens_in=100) for _ in range(3)]
-                tries += made.client.send_many(edge=made.edges[0], requests=requests)
-        assert made.wrong(tries=tries) == []
-        assert any(seen.right for seen in tries)
-        made.sound()
+                attempts += made.client.send_many(edge=made.edges[0], requests=requests)
+        assert made.violations(attempts=attempts) == []
+        assert any(attempt.is_correct for attempt in attempts)
+        made.assert_no_failures()
--- a/tests/balance_test.py
+++ b/tests/balance_test.py
@@ -59,6 +59,6 @@
             made.list.rows.pop(engine)
             made.kill(name=engine)
         made.sleep(seconds=12)
-        tries = made.load(paths=("/notes/a", "/once/b"), per_second=4, seconds=5)
-        assert sum(seen.right for seen in tries) >= len(tries) - 1
-        made.sound()
+        tries = made.send_load(paths=("/notes/a", "/once/b"), per_second=4, seconds=5)
+        assert sum(seen.is_correct for seen in tries) >= len(tries) - 1
+        made.assert_no_failures()
--- a/tests/budget_test.py
+++ b/tests/budget_test.py
@@ -8,7 +8,7 @@
 from dockmux.platform_proxy.budget import ALONE_PART, Budget
 from dockmux.platform_proxy.deployment import Deployment
 from dockmux.runtime.time_units import ZERO, ms
-from tests.standins.fleet import RATIO, SECOND, Fleet, fleet
+from tests.standins.fleet import RETRY_RATIO, SECOND, Fleet, fleet
 
 WINDOW = timedelta(seconds=10)
 BOUND = ms(20)
@@ -163,7 +163,7 @@
         requests = max(
             sum(end - WINDOW - back < at <= end - back for at in asked) for back in (ZERO, WINDOW / 2, WINDOW)
         )
-        if count > RATIO * requests + extra:
+        if count > RETRY_RATIO * requests + extra:
             told.append(f"{count} extra arrivals for {requests} requests in the ten seconds to {end}")
     return told
 
@@ -174,25 +174,25 @@
     for rows in made.record.by_id.values():
         free_read, free_run = True, True
         for row in rows:
-            if row.reading and not row.turned_away and free_read:
+            if row.is_prefill and not row.rejected and free_read:
                 free_read = False
             elif free_run:
                 free_run = False
             else:
                 extras.append(row.at)
-    return _over(extras=sorted(extras), asked=[seen.sent_at for seen in made.client.tries])
+    return _over(extras=sorted(extras), asked=[seen.sent_at for seen in made.client.attempts])
 
 
 def _lapse(*, made: Fleet, lapsing: bool) -> None:
     for engine in made.engines.values():
-        if hasattr(engine, "lapsing"):
-            engine.lapsing = lapsing
+        if hasattr(engine, "expire_handles"):
+            engine.expire_handles = lapsing
 
 
 def _turn(*, made: Fleet, phase: str, turning: bool) -> None:
     for engine in made.engines.values():
         if getattr(engine, "phase", "") == phase:
-            engine.turning = turning
+            engine.rejecting = turning
 
 
 PATHS = ("/notes/a", "/check/c", "/once/b")
@@ -200,41 +200,41 @@
 
 def test_all_handles_lapsing_at_once_under_load_keep_to_the_budget():
     with fleet(seed=41, extra=EXTRA) as made:
-        made.load(paths=PATHS, per_second=12, seconds=2)
+        made.send_load(paths=PATHS, per_second=12, seconds=2)
         _lapse(made=made, lapsing=True)
-        tries = made.load(paths=PATHS, per_second=16, seconds=11)
+        tries = made.send_load(paths=PATHS, per_second=16, seconds=11)
         _lapse(made=made, lapsing=False)
-        after = made.load(paths=PATHS, per_second=12, seconds=2)
+        after = made.send_load(paths=PATHS, per_second=12, seconds=2)
         assert _breaches(made=made) == []
-        assert made.wrong(tries=tries + after) == []
-        assert [seen for seen in after if not seen.right] == []
-        made.sound()
+        assert made.violations(attempts=tries + after) == []
+        assert [seen for seen in after if not seen.is_correct] == []
+        made.assert_no_failures()
 
 
 def test_without_the_budget_lapsing_handles_would_go_over_it(monkeypatch):
     monkeypatch.setattr(Budget, "take", lambda self, **_: True)
     with fleet(seed=41, extra=EXTRA) as made:
         _lapse(made=made, lapsing=True)
-        made.load(paths=PATHS, per_second=20, seconds=3)
+        made.send_load(paths=PATHS, per_second=20, seconds=3)
         assert _breaches(made=made)
 
 
 def test_reading_engines_that_turn_everything_away_keep_to_the_budget():
     with fleet(seed=42, extra=EXTRA) as made:
         _turn(made=made, phase="prefill", turning=True)
-        tries = made.load(paths=PATHS, per_second=20, seconds=3)
-        assert made.wrong(tries=tries) == []
-        made.sound()
+        tries = made.send_load(paths=PATHS, per_second=20, seconds=3)
+        assert made.violations(attempts=tries) == []
+        made.assert_no_failures()
         assert _breaches(made=made)[:1] == []
 
 
 def test_writing_engines_that_turn_everything_away_keep_to_the_budget():
     with fleet(seed=43, extra=EXTRA) as made:
         _turn(made=made, phase="decode", turning=True)
-        tries = made.load(paths=PATHS, per_second=20, seconds=3)
-        assert made.wrong(tries=tries) == []
+        tries = made.send_load(paths=PATHS, per_second=20, seconds=3)
+        assert made.violations(attempts=tries) == []
         assert all(seen.refused for seen in tries)
-        made.sound()
+        made.assert_no_failures()
         assert _breaches(made=made)[:1] == []
 
 
@@ -243,7 +243,7 @@
     """What their former lives sent is in the same ten seconds, and at first they know of nobody."""
     with fleet(seed=44, extra=EXTRA) as made:
         _lapse(made=made, lapsing=True)
-        tries = made.load(paths=PATHS, per_second=20, seconds=3)
+        tries = made.send_load(paths=PATHS, per_second=20, seconds=3)
         for _ in range(2):
             for zone in killed:
                 made.kill(name=f"edge-{zone}")
@@ -251,7 +251,7 @@
             for zone in killed:
                 made.start_daemon(name=f"edge-{zone}")
             assert made.wait_until(what=made.ready, limit=5 * SECOND)
-            tries += made.load(paths=PATHS, per_second=20, seconds=2)
-        assert made.wrong(tries=tries) == []
-        made.sound()
+            tries += made.send_load(paths=PATHS, per_second=20, seconds=2)
+        assert made.violations(attempts=tries) == []
+        made.assert_no_failures()
         assert _breaches(made=made)[:1] == []
--- a/tests/client_disconnect_test.py
+++ b/tests/client_disconnect_test.py
@@ -26,7 +26,7 @@
 
 def disconnect(*, made: Fleet, request: Request, after: timedelta, departure: Departure) -> None:
     with made.outside.connect(address=made.edges[0], wait=SECOND) as stream:
-        stream.sendall(request.wire())
+        stream.sendall(request.to_bytes())
         made.outside.sleep(wait=after)
         departure.disconnected_at = made.world.now()
 
@@ -55,7 +55,7 @@
     return [
         row
         for departure in departures
-        for row in made.record.of(request_id=departure.request_id)
+        for row in made.record.arrivals_of(request_id=departure.request_id)
         if row.at > departure.disconnected_at + DISCONNECT_LIMIT
     ]
 
@@ -65,8 +65,8 @@
     return [
         row
         for departure in departures
-        for row in made.record.of(request_id=departure.request_id)
-        if not (row.turned_away or row.ended or row.abandoned)
+        for row in made.record.arrivals_of(request_id=departure.request_id)
+        if not (row.rejected or row.ended or row.sender_disconnected)
     ]
 
 
@@ -79,7 +79,7 @@
         made.sleep(seconds=8)
         late = late_arrivals(made=made, departures=departures)
         assert made.record.arrivals and late == [], f"{len(late)} were sent after their clients had disconnected"
-        made.sound()
+        made.assert_no_failures()
 
 
 @pytest.mark.parametrize("slots", (64, 1))
@@ -91,7 +91,7 @@
         made.sleep(seconds=(ms(300) + DISCONNECT_LIMIT) / SECOND)
         still = in_progress(made=made, departures=departures)
         assert still == [], f"engines are processing {len(still)} requests whose clients have disconnected"
-        made.sound()
+        made.assert_no_failures()
 
 
 @pytest.mark.parametrize("path", UNARY_PATHS)
@@ -103,7 +103,7 @@
         made.sleep(seconds=(ms(600) + DISCONNECT_LIMIT) / SECOND)
         still = in_progress(made=made, departures=departures)
         assert len(made.record.arrivals) == 5 and still == []
-        made.sound()
+        made.assert_no_failures()
 
 
 def test_a_client_that_disconnects_while_no_engine_is_reachable_is_not_served_later():
@@ -117,7 +117,7 @@
             made.start_engine(engine=engine, phase="decode", zone=place, place=place + 1)
         made.sleep(seconds=4)
         assert late_arrivals(made=made, departures=departures) == []
-        made.sound()
+        made.assert_no_failures()
 
 
 def test_cancelled_requests_do_not_mark_engines_as_failing():
@@ -128,7 +128,7 @@
         made.sleep(seconds=2)
         failing = [name for name, edge in made.daemons.items() if hasattr(edge, "verdicts") and edge.verdicts.rows]
         assert failing == []
-        made.sound()
+        made.assert_no_failures()
 
 
 def test_the_kv_cache_of_a_disconnected_client_is_freed():
@@ -137,9 +137,9 @@
         departures = disconnect_many(made=made, paths=("/notes/a",), count=30, after=ms(60))
         made.sleep(seconds=2)
         names = {departure.request_id for departure in departures}
-        held = [handle for handle, (request_id, _) in made.record.memory.items() if request_id in names]
+        held = [handle for handle, (request_id, _) in made.record.kv_caches.items() if request_id in names]
         assert held == []
-        made.sound()
+        made.assert_no_failures()
 
 
 def test_a_client_that_pipelines_its_next_request_is_still_connected():
@@ -148,15 +148,15 @@
         slow_down(made=made)
         first, second = (made.request(path="/check/c", tokens_out=0) for _ in range(2))
         with made.outside.connect(address=made.edges[0], wait=SECOND) as stream:
-            stream.sendall(first.wire() + second.wire())
+            stream.sendall(first.to_bytes() + second.to_bytes())
             data = b""
             made.outside.spawn(task=stream.settimeout, seconds=9.0)
             while data.count(b"HTTP/1.1 200") < 2:
                 piece = stream.recv(65536)
                 assert piece, data
                 data += piece
-        assert first.answer() in data and second.answer() in data
-        made.sound()
+        assert first.expected_body() in data and second.expected_body() in data
+        made.assert_no_failures()
 
 
 @pytest.mark.parametrize("path", PATHS)
@@ -166,11 +166,11 @@
         slow_down(made=made)
         request = made.request(path=path, tokens_out=0 if path in UNARY_PATHS else 40)
         with made.outside.connect(address=made.edges[0], wait=SECOND) as stream:
-            stream.sendall(request.wire())
+            stream.sendall(request.to_bytes())
             made.sleep(seconds=0.1)
             stream.shutdown(1)
             made.sleep(seconds=DISCONNECT_LIMIT / SECOND)
             assert stream.recv(65536).startswith(b"HTTP/1.1 504 ")
-        (row,) = made.record.of(request_id=request.request_id)
-        assert row.abandoned
-        made.sound()
+        (row,) = made.record.arrivals_of(request_id=request.request_id)
+        assert row.sender_disconnected
+        made.assert_no_failures()
--- a/tests/control/cores.py
+++ b/tests/control/cores.py
@@ -14,15 +14,15 @@
 from dockmux.runtime.log_events import LogEvent
 from dockmux.runtime.time_units import ms
 from dockmux.simulator.world import Disk, SimHost, World
-from tests.standins.fleet import lines
-from tests.standins.operator import Operator, configuration, packed
+from tests.standins.fleet import settings_lines
+from tests.standins.operator import Operator, configuration, serialize
 
 SECOND = timedelta(seconds=1)
 
 
 def text_of(*, version: int, **changes: Any) -> bytes:
     """A valid configuration under a number; `changes` make it another one under the same number."""
-    return packed(fields=configuration(gen=version) | changes)
+    return serialize(fields=configuration(gen=version) | changes)
 
 
 class Cores:
@@ -39,7 +39,7 @@
         self.outside = SimHost(world=world, name="outside", machine=world.machine(ip="10.99.0.1", site="outside"))
         for place, name in enumerate(self.names):
             self.add(name=name, ip=f"10.{place + 1}.0.1", bootstrap="true")
-        self.operator = Operator(host=self.outside, controls=[f"{self.ip(name=name)}:8166" for name in self.names])
+        self.operator = Operator(host=self.outside, addresses=[f"{self.ip(name=name)}:8166" for name in self.names])
 
     def ip(self, *, name: str) -> str:
         return self.lines[name]["ip"]
@@ -47,7 +47,7 @@
     def add(self, *, name: str, ip: str, bootstrap: str = "false") -> None:
         place = len(self.lines) % 3
         changed = {"ip": ip, "listen.ctl": f"{ip}:8166", "survive.nodes": str(self.survive), "bootstrap": bootstrap}
-        self.lines[name] = lines(name=name, zone=place, machine="core", **changed)
+        self.lines[name] = settings_lines(name=name, zone=place, machine="core", **changed)
 
     def start(self, *, name: str) -> None:
         rows = self.lines[name]
@@ -133,7 +133,7 @@
 
     def place(self, *, name: str) -> int:
         """The operator's number for a daemon."""
-        return self.operator.controls.index(f"{self.ip(name=name)}:8166")
+        return self.operator.addresses.index(f"{self.ip(name=name)}:8166")
 
     def put(self, *, version: int, base: int, control: int = 0, **changes: Any) -> int:
         """One call to one daemon, without going on to another: its status, 0 for none."""
--- a/tests/control/membership_test.py
+++ b/tests/control/membership_test.py
@@ -183,7 +183,7 @@
             made.sleep(seconds=1)
             back = "core-9"
             made.replace(name=lost, fresh=back, ip="10.1.0.9")
-            made.operator.controls[made.operator.controls.index(f"{made.ip(name=lost)}:8166")] = "10.1.0.9:8166"
+            made.operator.addresses[made.operator.addresses.index(f"{made.ip(name=lost)}:8166")] = "10.1.0.9:8166"
         made.sleep(seconds=4)
         made.wipe(name=second)
         assert (
--- a/tests/control/record_log_rewrite_test.py
+++ b/tests/control/record_log_rewrite_test.py
@@ -5,7 +5,7 @@
 import pytest
 
 from dockmux.runtime.record_log import RecordLog
-from tests.standins.still import StillHost
+from tests.standins.manual_clock_host import ManualClockHost
 
 
 class HalfFailingFolder:
@@ -35,7 +35,7 @@
 
 def test_a_rewrite_whose_folder_could_not_be_synced_leaves_no_gap():
     """Guards against a log that the next start finds damaged (exit 3)."""
-    folder, host = HalfFailingFolder(), StillHost()
+    folder, host = HalfFailingFolder(), ManualClockHost()
     log = RecordLog(host=host, folder=folder, name="log")
     log.rewrite(records=[{"n": number, "text": "x" * 50} for number in range(9)])
     folder.fails = True
--- a/tests/control_model/machines.py
+++ b/tests/control_model/machines.py
@@ -9,7 +9,7 @@
 from dockmux.control.core import Core
 from dockmux.platform_proxy.operator_api import OperatorApi
 from dockmux.simulator.world import Disk, SimHost, World
-from tests.standins.fleet import ZONES, lines
+from tests.standins.fleet import ZONES, settings_lines
 
 SEEDS = 3
 
@@ -29,7 +29,7 @@
         self.outside = SimHost(world=world, name="outside", machine=world.machine(ip="10.99.0.1", site="outside"))
         for place, name in enumerate(self.names):
             ip = f"10.{place + 1}.0.1"
-            self.lines[name] = lines(name=name, zone=place % len(ZONES), machine="core") | {
+            self.lines[name] = settings_lines(name=name, zone=place % len(ZONES), machine="core") | {
                 "ip": ip,
                 "listen.ctl": f"{ip}:8166",
                 "survive.nodes": str(members // 2),
--- a/tests/control_model/operators.py
+++ b/tests/control_model/operators.py
@@ -110,7 +110,7 @@
 
     def _operator(self, *, control: int) -> Operator:
         place = control % len(self.machines.names)
-        return Operator(host=self.machines.outside, controls=[self.machines.address(place=place)])
+        return Operator(host=self.machines.outside, addresses=[self.machines.address(place=place)])
 
     def put_once(self, *, change: Change, control: int) -> int:
         world = self.machines.world
--- a/tests/draining_engines_test.py
+++ b/tests/draining_engines_test.py
@@ -17,7 +17,7 @@
 
     The daemons in `kill` are killed at that moment. The engines keep serving, so that only the daemons' knowledge of
     the list keeps requests away from them."""
-    before = made.load(paths=PATHS, per_second=12, seconds=2)
+    before = made.send_load(paths=PATHS, per_second=12, seconds=2)
     assert {row.engine for row in made.record.arrivals} >= set(DRAINING)
     asker = made.list.calls[-1].by
     for engine in DRAINING:
@@ -27,9 +27,12 @@
     for name in names:
         made.kill(name=name)
     zones = tuple(zone for zone in range(3) if f"edge-{zone}" not in names)
-    tries = made.load(paths=PATHS, per_second=9, seconds=5, zones=zones)
-    assert made.wrong(tries=tries) == [] and [seen for seen in before + tries if not seen.right] == []
-    made.sound()
+    attempts = made.send_load(paths=PATHS, per_second=9, seconds=5, zones=zones)
+    assert (
+        made.violations(attempts=attempts) == []
+        and [attempt for attempt in before + attempts if not attempt.is_correct] == []
+    )
+    made.assert_no_failures()
     return [row for row in made.record.arrivals if row.engine in DRAINING and row.at > shown + 3 * SECOND]
 
 
@@ -54,15 +57,17 @@
 def test_while_the_list_fails_or_is_slow_the_known_engines_serve():
     with fleet(seed=23) as made:
         made.list.failing = True
-        tries = made.load(paths=PATHS, per_second=4, seconds=5)
+        attempts = made.send_load(paths=PATHS, per_second=4, seconds=5)
         made.list.failing, made.list.delay = False, timedelta(seconds=5)
-        tries += made.load(paths=PATHS, per_second=4, seconds=5)
+        attempts += made.send_load(paths=PATHS, per_second=4, seconds=5)
         assert made.ready()
         made.list.delay = timedelta()
         made.list.rows["i-d4"]["st"] = "draining"
         made.sleep(seconds=4)
         since = made.world.now()
-        tries += made.load(paths=PATHS, per_second=8, seconds=3)
+        attempts += made.send_load(paths=PATHS, per_second=8, seconds=3)
         assert [row for row in made.record.arrivals if row.engine == "i-d4" and row.at > since] == []
-        assert [seen for seen in tries if not seen.right] == [] and made.wrong(tries=tries) == []
-        made.sound()
+        assert [attempt for attempt in attempts if not attempt.is_correct] == [] and made.violations(
+            attempts=attempts
+        ) == []
+        made.assert_no_failures()
--- a/tests/failing_test.py
+++ b/tests/failing_test.py
@@ -27,51 +27,51 @@
 @pytest.mark.parametrize(("how", "engine"), [("machine", "i-p0"), ("machine", "i-d3"), ("process", "i-d3")])
 def test_from_a_dark_engine_work_goes_elsewhere_and_comes_back_once_it_is_well(how, engine):
     with fleet(seed=31) as made:
-        tries = made.load(paths=PATHS, per_second=9, seconds=2)
+        tries = made.send_load(paths=PATHS, per_second=9, seconds=2)
         assert _used(made=made, engine=engine, since=0 * SECOND)
         onset = made.world.now()
         _dark(made=made, engine=engine, how=how, dark=True)
-        during = made.load(paths=PATHS, per_second=5, seconds=7)
+        during = made.send_load(paths=PATHS, per_second=5, seconds=7)
         known = [seen for seen in during if seen.sent_at > onset + 3 * SECOND]
-        slow = [seen for seen in known if not seen.right or seen.ended_at - seen.sent_at > 2 * SECOND]
+        slow = [seen for seen in known if not seen.is_correct or seen.ended_at - seen.sent_at > 2 * SECOND]
         assert len(slow) <= len(known) // 15, f"{len(slow)} of {len(known)} were not served within 2 s"
-        assert made.wrong(tries=tries + during) == []
+        assert made.violations(attempts=tries + during) == []
         _dark(made=made, engine=engine, how=how, dark=False)
         well = made.world.now()
         # It may have become a reader meanwhile, which is home to few of these beginnings.
-        tries = made.load(paths=PATHS, per_second=4, seconds=16)
+        tries = made.send_load(paths=PATHS, per_second=4, seconds=16)
         assert _used(made=made, engine=engine, since=well + 8 * SECOND)
-        assert [seen for seen in tries if not seen.right] == []
-        made.sound()
+        assert [seen for seen in tries if not seen.is_correct] == []
+        made.assert_no_failures()
 
 
 @pytest.mark.parametrize("engine", ("i-p0", "i-d3"))
 def test_a_crashed_engines_work_goes_on_elsewhere_and_its_next_life_is_used(engine):
     with fleet(seed=32) as made:
-        before = made.load(paths=PATHS, per_second=9, seconds=2)
+        before = made.send_load(paths=PATHS, per_second=9, seconds=2)
         crashed = made.world.now()
         made.outside.spawn(task=_crash, made=made, engine=engine)
-        during = made.load(paths=PATHS, per_second=9, seconds=4)
-        assert [seen for seen in before + during if not seen.right] == []
+        during = made.send_load(paths=PATHS, per_second=9, seconds=4)
+        assert [seen for seen in before + during if not seen.is_correct] == []
         del made.list.rows[engine]
         made.start_engine(engine="i-fresh", phase="prefill" if engine == "i-p0" else "decode", zone=0, place=20)
         began = made.world.now()
-        after = made.load(paths=PATHS, per_second=9, seconds=6)
+        after = made.send_load(paths=PATHS, per_second=9, seconds=6)
         assert _used(made=made, engine="i-fresh", since=began)
         assert not _used(made=made, engine=engine, since=crashed + SECOND)
-        assert [seen for seen in after if not seen.right] == []
-        assert made.wrong(tries=before + during + after) == []
-        made.sound()
+        assert [seen for seen in after if not seen.is_correct] == []
+        assert made.violations(attempts=before + during + after) == []
+        made.assert_no_failures()
 
 
 def test_a_reading_that_stays_silent_is_done_elsewhere_in_time():
     """Reading is not running: it may be repeated whatever the route, and eight seconds are plenty."""
     with fleet(seed=37) as made:
-        made.load(paths=PATHS, per_second=9, seconds=2)
+        made.send_load(paths=PATHS, per_second=9, seconds=2)
         made.hosts["i-p0"].freeze()
-        tries = made.load(paths=(*PATHS, "/once/b"), per_second=9, seconds=4)
-        held = [seen for seen in tries if not seen.right]
-        assert made.wrong(tries=tries) == []
+        tries = made.send_load(paths=(*PATHS, "/once/b"), per_second=9, seconds=4)
+        held = [seen for seen in tries if not seen.is_correct]
+        assert made.violations(attempts=tries) == []
         assert held == [], f"{len(held)} of {len(tries)}: {[(seen.status, seen.error) for seen in held]}"
 
 
@@ -85,27 +85,27 @@
 def test_what_was_at_a_crashed_engine_and_may_not_be_repeated_is_not(path):
     with fleet(seed=33, phases="d") as made:
         made.outside.spawn(task=_crash, made=made, engine="i-d0")
-        tries = made.load(paths=(path,), per_second=30, seconds=1)
-        assert made.wrong(tries=tries) == []
-        assert any(not seen.right for seen in tries) and any(seen.right for seen in tries)
-        made.sound()
+        tries = made.send_load(paths=(path,), per_second=30, seconds=1)
+        assert made.violations(attempts=tries) == []
+        assert any(not seen.is_correct for seen in tries) and any(seen.is_correct for seen in tries)
+        made.assert_no_failures()
 
 
 def test_an_address_that_was_handed_to_an_engine_of_another_service_runs_nothing_of_the_former():
     """The list shows the former engine for a while yet. That another one answers a probe at its address does not make
     it well: its answers name the instance."""
     with fleet(seed=34) as made:
-        made.load(paths=PATHS, per_second=9, seconds=2)
+        made.send_load(paths=PATHS, per_second=9, seconds=2)
         made.kill(name="i-d3")
         made.sleep(seconds=2)
         made.start_engine(engine="i-other", phase="decode", zone=0, place=4, service="other")
         since = made.world.now()
-        tries = made.load(paths=PATHS, per_second=12, seconds=6)
+        tries = made.send_load(paths=PATHS, per_second=12, seconds=6)
         rows = [row for row in made.record.arrivals if row.engine == "i-other"]
         assert [row for row in rows if row.what in ("run", "read")] == []
-        assert made.wrong(tries=tries) == []
-        assert [seen for seen in tries if not seen.right and not seen.refused] == []
-        made.sound()
+        assert made.violations(attempts=tries) == []
+        assert [seen for seen in tries if not seen.is_correct and not seen.refused] == []
+        made.assert_no_failures()
         assert len([row for row in rows if row.at > since + 2 * SECOND]) <= 1
 
 
@@ -113,20 +113,20 @@
     monkeypatch.setattr(Verdicts, "failing", lambda self, *, engine: False)
     with fleet(seed=31) as made:
         _dark(made=made, engine="i-p0", how="machine", dark=True)
-        tries = made.load(paths=PATHS, per_second=9, seconds=5)
+        tries = made.send_load(paths=PATHS, per_second=9, seconds=5)
         late = [seen for seen in tries if seen.sent_at > tries[0].sent_at + 3 * SECOND]
-        assert any(not seen.right or seen.ended_at - seen.sent_at > ms(600) for seen in late)
+        assert any(not seen.is_correct or seen.ended_at - seen.sent_at > ms(600) for seen in late)
 
 
 def test_memory_that_no_engine_takes_is_freed_at_once():
     with fleet(seed=35) as made:
         for engine in made.engines.values():
-            engine.turning = engine.phase == "decode"
-        made.load(paths=("/notes/a",), per_second=6, seconds=2, tokens_in=6000)
+            engine.rejecting = engine.phase == "decode"
+        made.send_load(paths=("/notes/a",), per_second=6, seconds=2, tokens_in=6000)
         made.sleep(seconds=0.5)
         read = [row for row in made.record.arrivals if row.what == "read"]
-        assert read and made.record.memory == {} and len(made.record.freed) == len(read)
-        made.sound()
+        assert read and made.record.kv_caches == {} and len(made.record.freed) == len(read)
+        made.assert_no_failures()
 
 
 def test_a_daemon_that_is_told_to_stop_is_not_ready_and_brings_what_it_has_to_its_end():
@@ -140,11 +140,11 @@
             stopped.append(made.world.now())
 
         made.outside.spawn(task=stop)
-        tries = made.load(paths=("/notes/a", "/once/b"), per_second=10, seconds=3, zones=(0,), tokens_out=60)
-        assert [seen for seen in tries if not seen.right] == []
+        tries = made.send_load(paths=("/notes/a", "/once/b"), per_second=10, seconds=3, zones=(0,), tokens_out=60)
+        assert [seen for seen in tries if not seen.is_correct] == []
         assert not made.is_ready(zone=0) and made.is_ready(zone=1)
         later = [seen for seen in tries if seen.sent_at > stopped[0]]
         assert later and all(seen.headers.get("connection") == "close" for seen in later)
         made.sleep(seconds=2)
         assert edge.drain() == 0
-        made.sound()
+        made.assert_no_failures()
--- a/tests/graceful_shutdown_test.py
+++ b/tests/graceful_shutdown_test.py
@@ -5,7 +5,7 @@
 import pytest
 
 from dockmux.runtime.time_units import ms
-from tests.standins.client import Request, Seen
+from tests.standins.client import Attempt, Request
 from tests.standins.fleet import SECOND, Fleet, fleet
 
 GRACE_PERIOD = 8 * SECOND
@@ -37,14 +37,14 @@
     made.outside.spawn(task=made.client.send_many, edge=made.edges[0], requests=requests, pause=pause)
 
 
-def lost_requests(*, made: Fleet, tries: list[Seen], stopped_at: timedelta) -> list[str]:
+def lost_requests(*, made: Fleet, attempts: list[Attempt], stopped_at: timedelta) -> list[str]:
     """Requests without a complete answer that were sent later than `EXCUSED` after the stop, and that reached an engine
     or received part of an answer."""
-    late = [seen for seen in tries if seen.sent_at > stopped_at + EXCUSED and not seen.whole]
+    late = [attempt for attempt in attempts if attempt.sent_at > stopped_at + EXCUSED and not attempt.complete]
     return [
-        f"{seen.request.request_id}: sent {seen.sent_at - stopped_at} after the stop, {seen.status} {seen.error}"
-        for seen in late
-        if seen.received or made.record.of(request_id=seen.request.request_id)
+        f"{row.request.request_id}: sent {row.sent_at - stopped_at} after the stop, {row.status} {row.error}"
+        for row in late
+        if row.received or made.record.arrivals_of(request_id=row.request.request_id)
     ]
 
 
@@ -67,16 +67,16 @@
         made.sleep(seconds=0.2)
         stopped_at = stop(made=made)
         made.sleep(seconds=10)
-        tries = made.client.tries
-        assert lost_requests(made=made, tries=tries, stopped_at=stopped_at) == []
-        assert made.wrong(tries=tries) == []
-        long = [seen for seen in tries if seen.request.tokens_out == SIX_SECONDS]
-        assert len(long) == 3 and all(seen.right for seen in long), "open requests are completed"
-        early = [seen for seen in tries if stopped_at < seen.sent_at < stopped_at + 2 * SECOND]
-        assert len(early) >= 3 and all(seen.right for seen in early), (
+        attempts = made.client.attempts
+        assert lost_requests(made=made, attempts=attempts, stopped_at=stopped_at) == []
+        assert made.violations(attempts=attempts) == []
+        long = [attempt for attempt in attempts if attempt.request.tokens_out == SIX_SECONDS]
+        assert len(long) == 3 and all(attempt.is_correct for attempt in long), "open requests are completed"
+        early = [attempt for attempt in attempts if stopped_at < attempt.sent_at < stopped_at + 2 * SECOND]
+        assert len(early) >= 3 and all(attempt.is_correct for attempt in early), (
             "requests are admitted while new connections may come"
         )
-        made.sound()
+        made.assert_no_failures()
 
 
 def test_during_shutdown_every_answer_closes_its_connection():
@@ -91,13 +91,13 @@
             made.sleep(seconds=wait)
             for path, fields in (("/once/b", {}), ("/nowhere/x", {}), ("/check/c", {"request_id": ""})):
                 made.client.send(edge=made.edges[0], request=request(made=made, path=path, count=SHORT, **fields))
-        tries = [seen for seen in made.client.tries if seen.sent_at > stopped_at]
-        assert len(tries) == 12 and all(seen.whole for seen in tries)
-        assert all(seen.headers["connection"] == "close" for seen in tries)
-        refused = [seen for seen in tries if seen.request.path == "/once/b" and seen.status == 503]
-        assert len(refused) == 3 and all("retry-after" in seen.headers for seen in refused)
-        assert not any(made.record.of(request_id=seen.request.request_id) for seen in refused)
-        made.sound()
+        attempts = [attempt for attempt in made.client.attempts if attempt.sent_at > stopped_at]
+        assert len(attempts) == 12 and all(attempt.complete for attempt in attempts)
+        assert all(attempt.headers["connection"] == "close" for attempt in attempts)
+        refused = [attempt for attempt in attempts if attempt.request.path == "/once/b" and attempt.status == 503]
+        assert len(refused) == 3 and all("retry-after" in attempt.headers for attempt in refused)
+        assert not any(made.record.arrivals_of(request_id=attempt.request.request_id) for attempt in refused)
+        made.assert_no_failures()
 
 
 def test_a_request_that_ends_before_the_process_is_still_admitted():
@@ -109,11 +109,11 @@
         made.sleep(seconds=0.3)
         stop(made=made)
         made.sleep(seconds=4)
-        seen = made.client.send(
+        attempt = made.client.send(
             edge=made.edges[0], request=request(made=made, path="/check/c", count=0, deadline=2 * SECOND)
         )
-        assert seen.right
-        made.sound()
+        assert attempt.is_correct
+        made.assert_no_failures()
 
 
 def test_idle_connections_are_closed_before_the_process_ends():
@@ -127,11 +127,11 @@
             stop(made=made)
             made.sleep(seconds=2)
             assert not made.outside.readable(sock=idle), (
-                "closed before the platform has seen that the daemon is not ready"
+                "closed before the platform has attempt that the daemon is not ready"
             )
             made.sleep(seconds=1.5)
             assert made.outside.readable(sock=idle) and idle.recv(10) == b""
-        made.sound()
+        made.assert_no_failures()
 
 
 def test_requests_without_an_answer_get_a_final_one_before_the_process_ends():
@@ -143,7 +143,7 @@
         made.sleep(seconds=0.3)
         stopped_at = stop(made=made)
         made.sleep(seconds=9)
-        statuses = {seen.request.path: (seen.status, seen.whole) for seen in made.client.tries}
+        statuses = {attempt.request.path: (attempt.status, attempt.complete) for attempt in made.client.attempts}
         assert all(whole for _, whole in statuses.values()), statuses
-        assert all(seen.ended_at < stopped_at + GRACE_PERIOD for seen in made.client.tries)
-        assert made.wrong(tries=made.client.tries) == []
+        assert all(attempt.ended_at < stopped_at + GRACE_PERIOD for attempt in made.client.attempts)
+        assert made.violations(attempts=made.client.attempts) == []
--- a/tests/http_server_test.py
+++ b/tests/http_server_test.py
@@ -9,7 +9,7 @@
 from dockmux.runtime.host import Host
 from dockmux.runtime.http_transport import fetch, serve
 from tests.standins.fleet import SECOND, fleet
-from tests.standins.operator import configuration, packed
+from tests.standins.operator import configuration, serialize
 
 
 class ShortListener:
@@ -46,7 +46,7 @@
 def head_of(*, made: object, size: int, line: bool) -> bytes:
     """A request whose head has about so many bytes, in its first line or in one field."""
     request = made.request(path="/check/c", tokens_out=0, tokens_in=100)
-    data = request.wire()
+    data = request.to_bytes()
     if line:
         return data.replace(b"/check/c ", b"/check/c?q=" + b"x" * size + b" ", 1)
     return data.replace(b"X-Model: m\r\n", b"X-Model: m\r\nX-Long: " + b"x" * size + b"\r\n", 1)
@@ -68,7 +68,7 @@
         assert b" 431 " in first_line(made=made, data=head_of(made=made, size=17_000, line=line))
         fields = configuration(gen=2)
         fields["caps"]["hdr_bytes"] = 32_768
-        assert made.operator.put(text=packed(fields=fields), base=1) == 200
+        assert made.operator.put(text=serialize(fields=fields), base=1) == 200
         made.sleep(seconds=2)
         assert b" 200 " in first_line(made=made, data=head_of(made=made, size=30_000, line=line))
 
@@ -78,9 +78,9 @@
     with fleet(seed=73, phases="d") as made:
         fields = configuration(gen=2)
         fields["caps"] |= {"hdr_ms": 1000, "idle_ms": 4000}
-        assert made.operator.put(text=packed(fields=fields), base=1) == 200
+        assert made.operator.put(text=serialize(fields=fields), base=1) == 200
         made.sleep(seconds=2)
-        data = made.request(path="/check/c", tokens_out=0).wire()
+        data = made.request(path="/check/c", tokens_out=0).to_bytes()
         with (
             made.outside.connect(address=made.edges[0], wait=SECOND) as idle,
             made.outside.connect(address=made.edges[0], wait=SECOND) as slow,
--- a/tests/list_copies_test.py
+++ b/tests/list_copies_test.py
@@ -9,7 +9,7 @@
 from dockmux.platform_proxy.directory import Directory, digest_of
 from dockmux.platform_proxy.protocol_adapter import EngineEntry
 from dockmux.runtime.time_units import ms
-from tests.standins.still import StillHost
+from tests.standins.manual_clock_host import ManualClockHost
 
 
 def _row(*, name: str, leaving: bool = False) -> EngineEntry:
@@ -23,7 +23,7 @@
 
 
 def _directory() -> Directory:
-    return Directory(host=StillHost(), deployment=Deployment(drain=timedelta(seconds=3)), protocol=None)
+    return Directory(host=ManualClockHost(), deployment=Deployment(drain=timedelta(seconds=3)), protocol=None)
 
 
 def _hear(*, directory: Directory, digest: str, age_ms: int, delta: dict[str, Any] | None, origin: str = "b:1") -> bool:
@@ -36,7 +36,7 @@
     directory.take(rows=_rows("1"), asked_at=directory.host.elapsed(), origin="a:0")
     first_due = {}
     for _ in range(300):
-        directory.host.pass_ms(10)
+        directory.host.advance_ms(10)
         for place in range(9):
             if directory.due(place=place):
                 first_due.setdefault(place, directory.age)
@@ -51,7 +51,7 @@
     assert directory.due(place=8)
     directory.backoff_until = directory.host.elapsed() + ms(300)
     assert not directory.due(place=0)
-    directory.host.pass_ms(300)
+    directory.host.advance_ms(300)
     assert directory.due(place=0)
 
 
@@ -70,7 +70,7 @@
 def test_the_same_copy_heard_of_later_is_as_fresh_as_its_asking():
     directory = _directory()
     directory.take(rows=_rows("1"), asked_at=directory.host.elapsed(), origin="a:5")
-    directory.host.pass_ms(900)
+    directory.host.advance_ms(900)
     assert not _hear(directory=directory, digest=directory.digest, age_ms=100, delta=None)
     assert directory.age == ms(100)
     assert not _hear(directory=directory, digest=directory.digest, age_ms=400, delta=None)
@@ -80,7 +80,7 @@
 def test_the_same_asking_told_again_is_no_newer():
     directory = _directory()
     directory.take(rows=_rows("1"), asked_at=directory.host.elapsed(), origin="b:7")
-    directory.host.pass_ms(900)
+    directory.host.advance_ms(900)
     assert not _hear(directory=directory, digest=directory.digest, age_ms=880, delta=None, origin="b:7")
     assert directory.age == ms(900)
     assert not _hear(directory=directory, digest=directory.digest, age_ms=880, delta=None, origin="c:1")
@@ -91,7 +91,7 @@
     here, there = _directory(), _directory()
     for directory in (here, there):
         directory.take(rows=_rows("1", "2"), asked_at=directory.host.elapsed(), origin="a:6")
-        directory.host.pass_ms(1000)
+        directory.host.advance_ms(1000)
     there.take(rows=_rows("2", "3", leaving="2"), asked_at=there.host.elapsed(), origin="a:7")
     assert there.delta["from"] == here.digest and there.delta["gone"] == ["1"]
     # Without the delta, and with one from another copy, the whole must be asked for.
--- a/tests/normal_operation_test.py
+++ b/tests/normal_operation_test.py
@@ -7,21 +7,21 @@
 
 from dockmux.platform_proxy.tracker import Tracker
 from tests.standins.fleet import SECOND, Fleet, fleet
-from tests.standins.operator import configuration, packed, route
+from tests.standins.operator import configuration, route, serialize
 
 PATHS = ("/notes/a", "/once/b?x=1%20y", "/check/c", "/write/d")
 
 
 def test_without_faults_every_request_gets_its_own_complete_answer_from_one_run():
     with fleet(seed=1) as made:
-        tries = made.load(paths=PATHS, per_second=2, seconds=60)
-        assert [seen for seen in tries if not seen.right] == []
-        assert made.wrong(tries=tries) == []
-        for seen in tries:
-            assert len(made.record.runs(request_id=seen.request.request_id)) == 1
-        assert max(seen.ended_at - seen.sent_at for seen in tries) < SECOND
+        attempts = made.send_load(paths=PATHS, per_second=2, seconds=60)
+        assert [attempt for attempt in attempts if not attempt.is_correct] == []
+        assert made.violations(attempts=attempts) == []
+        for attempt in attempts:
+            assert len(made.record.runs(request_id=attempt.request.request_id)) == 1
+        assert max(attempt.ended_at - attempt.sent_at for attempt in attempts) < SECOND
         assert made.list.calls and len(made.list.calls) < 60 * 4
-        made.sound()
+        made.assert_no_failures()
 
 
 def test_bodies_with_a_length_or_chunked_on_one_kept_connection():
@@ -31,10 +31,10 @@
             for path in PATHS
             for chunked in (False, True)
         ]
-        tries = made.client.send_many(edge=made.edges[1], requests=requests)
-        assert len(tries) == 8 and all(seen.right for seen in tries)
-        assert made.wrong(tries=tries) == []
-        made.sound()
+        attempts = made.client.send_many(edge=made.edges[1], requests=requests)
+        assert len(attempts) == 8 and all(attempt.is_correct for attempt in attempts)
+        assert made.violations(attempts=attempts) == []
+        made.assert_no_failures()
 
 
 def _changed_config(*, gen: int) -> dict:
@@ -49,7 +49,7 @@
 
 def _put_and_probe(*, made: Fleet) -> list[list[int]]:
     """The statuses of the removed and the added route on all edges, just under `apply_ms` after the acknowledgement."""
-    text = packed(fields=_changed_config(gen=5))
+    text = serialize(fields=_changed_config(gen=5))
     assert made.operator.put(text=text, base=1) == 200
     made.sleep(seconds=1.9)
     return [_statuses(made=made, path="/check/x"), _statuses(made=made, path="/fresh/x")]
@@ -61,8 +61,8 @@
         assert _statuses(made=made, path="/fresh/x") == [404] * 3
         assert _put_and_probe(made=made) == [[404] * 3, [200] * 3]
         for control in range(3):
-            assert made.operator.get(control=control) == packed(fields=_changed_config(gen=5))
-        made.sound()
+            assert made.operator.get(control=control) == serialize(fields=_changed_config(gen=5))
+        made.assert_no_failures()
 
 
 def test_without_configuration_updates_edges_serve_the_previous_configuration(monkeypatch):
@@ -72,22 +72,22 @@
 
 
 def test_a_resend_is_accepted_a_stale_base_is_not_and_versions_increase():
-    text = packed(fields=_changed_config(gen=5))
+    text = serialize(fields=_changed_config(gen=5))
     with fleet(seed=4) as made:
         put = made.operator.put
         assert put(text=text, base=1, control=0) == 200
         assert [put(text=text, base=1, control=control) for control in range(3)] == [200] * 3
-        assert put(text=packed(fields=configuration(gen=6)), base=1) == 412
-        assert put(text=packed(fields=configuration(gen=6)), base=4) == 412
-        assert 400 <= put(text=packed(fields=configuration(gen=5)), base=5) < 500
-        assert 400 <= put(text=packed(fields=configuration(gen=4)), base=5) < 500
-        assert 400 <= put(text=packed(fields=configuration(gen=6)), base=None) < 500
+        assert put(text=serialize(fields=configuration(gen=6)), base=1) == 412
+        assert put(text=serialize(fields=configuration(gen=6)), base=4) == 412
+        assert 400 <= put(text=serialize(fields=configuration(gen=5)), base=5) < 500
+        assert 400 <= put(text=serialize(fields=configuration(gen=4)), base=5) < 500
+        assert 400 <= put(text=serialize(fields=configuration(gen=6)), base=None) < 500
         assert made.operator.get() == text
-        assert put(text=packed(fields=configuration(gen=9)), base=5, control=2) == 200
+        assert put(text=serialize(fields=configuration(gen=9)), base=5, control=2) == 200
         # A resend of the previous version is still accepted, and does not make it current again.
         assert put(text=text, base=1) == 200
-        assert made.operator.get(control=1) == packed(fields=configuration(gen=9))
-        made.sound()
+        assert made.operator.get(control=1) == serialize(fields=configuration(gen=9))
+        made.assert_no_failures()
 
 
 def test_of_concurrent_changes_on_one_base_one_wins():
@@ -95,7 +95,7 @@
         told: dict[int, int] = {}
 
         def put(*, gen: int) -> None:
-            text = packed(fields=configuration(gen=gen))
+            text = serialize(fields=configuration(gen=gen))
             told[gen] = made.operator.put(text=text, base=1, control=gen % 3)
 
         for gen in (2, 3, 4):
@@ -104,29 +104,29 @@
         assert sorted(told.values()) == [200, 412, 412], told
         winner = next(gen for gen, status in told.items() if status == 200)
         assert json.loads(made.operator.get())["gen"] == winner
-        made.sound()
+        made.assert_no_failures()
 
 
 def _config_with_route(**changes: object) -> bytes:
     """Version 2 with fields of its first route replaced."""
     fields = copy.deepcopy(configuration(gen=2))
     fields["rtab"][0] |= changes
-    return packed(fields=fields)
+    return serialize(fields=fields)
 
 
 def _config_with(**changes: object) -> bytes:
     """Version 2 with top-level fields replaced."""
-    return packed(fields=configuration(gen=2) | changes)
+    return serialize(fields=configuration(gen=2) | changes)
 
 
 INVALID = {
-    "cut off": packed(fields=configuration(gen=2))[:-30],
+    "cut off": serialize(fields=configuration(gen=2))[:-30],
     "empty": b"",
     "no text": b"\xff\xfe\x00",
     "no object": b"[1, 2]",
-    "no routes": packed(fields={k: v for k, v in configuration(gen=2).items() if k != "rtab"}),
-    "no services": packed(fields={k: v for k, v in configuration(gen=2).items() if k != "svcs"}),
-    "no number": packed(fields={k: v for k, v in configuration(gen=2).items() if k != "gen"}),
+    "no routes": serialize(fields={k: v for k, v in configuration(gen=2).items() if k != "rtab"}),
+    "no services": serialize(fields={k: v for k, v in configuration(gen=2).items() if k != "svcs"}),
+    "no number": serialize(fields={k: v for k, v in configuration(gen=2).items() if k != "gen"}),
     "the number is a text": _config_with(gen="2"),
     "the number is no whole one": _config_with(gen=2.5),
     "the number is a truth value": _config_with(gen=True),
@@ -147,8 +147,8 @@
     "host is a list": _config_with_route(host=["desk.example"]),
 }
 NOT_INCREASING = {
-    "same number": packed(fields=_changed_config(gen=1)),
-    "lower number": packed(fields=configuration(gen=0)),
+    "same number": serialize(fields=_changed_config(gen=1)),
+    "lower number": serialize(fields=configuration(gen=0)),
 }
 
 
@@ -175,15 +175,15 @@
         }
         assert {kind: status for kind, status in told.items() if not 400 <= status < 500} == {}
         made.sleep(seconds=2)
-        assert made.operator.get() == packed(fields=configuration(gen=1))
+        assert made.operator.get() == serialize(fields=configuration(gen=1))
         assert _statuses(made=made, path="/check/x") == [200] * 3
         # The next valid configuration is accepted.
-        assert made.operator.put(text=packed(fields=_changed_config(gen=2)), base=1) == 200
-        made.sound()
+        assert made.operator.put(text=serialize(fields=_changed_config(gen=2)), base=1) == 200
+        made.assert_no_failures()
 
 
 def test_an_acknowledged_configuration_survives_a_restart_of_all_control_daemons():
-    text = packed(fields=_changed_config(gen=5))
+    text = serialize(fields=_changed_config(gen=5))
     with fleet(seed=7) as made:
         assert made.operator.put(text=text, base=1) == 200
         for name in ("core-0", "core-1", "core-2"):
@@ -193,4 +193,4 @@
             made.start_daemon(name=name)
         assert made.operator.get(limit=12 * SECOND) == text
         assert _statuses(made=made, path="/fresh/x") == [200] * 3
-        made.sound()
+        made.assert_no_failures()
--- a/tests/overload_test.py
+++ b/tests/overload_test.py
@@ -7,14 +7,14 @@
 import pytest
 
 from dockmux.runtime.time_units import ms
-from tests.standins.client import Seen
-from tests.standins.engine import ReadingQueue
+from tests.standins.client import Attempt
+from tests.standins.engine import PrefillQueue
 from tests.standins.fleet import SECOND, Fleet, fleet
 
 # Required share of served requests after the machines are back (RECOVER).
 MIN_SERVED_SHARE = 0.25
 # Added delay of each event per running stream: all streams together get at most 1000 / 5 events a second.
-DELAY_PER_STREAM = timedelta(milliseconds=5)
+STREAM_DELAY = timedelta(milliseconds=5)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -37,18 +37,18 @@
 UNIFORM_LOAD = (Load(path="/once/b", per_second=20.0, tokens_in=2000, tokens_out=24),)
 
 
-def run_load(*, made: Fleet, loads: tuple[Load, ...], seconds: float) -> list[Seen]:
+def run_load(*, made: Fleet, loads: tuple[Load, ...], seconds: float) -> list[Attempt]:
     """Sends requests at random times for `seconds`; a refused client retries once, after its Retry-After."""
     source = random.Random(5)
     end = made.world.now() + SECOND * seconds
-    firsts: list[Seen] = []
+    firsts: list[Attempt] = []
     for load in loads:
         made.outside.spawn(task=_send_periodically, made=made, load=load, end=end, source=source, firsts=firsts)
     made.sleep(seconds=seconds + 10)
     return firsts
 
 
-def _send_periodically(*, made: Fleet, load: Load, end: object, source: random.Random, firsts: list[Seen]) -> None:
+def _send_periodically(*, made: Fleet, load: Load, end: object, source: random.Random, firsts: list[Attempt]) -> None:
     while made.world.now() < end:
         made.sleep(seconds=source.expovariate(load.per_second))
         made.outside.spawn(
@@ -56,26 +56,26 @@
         )
 
 
-def _send_with_retry(*, made: Fleet, load: Load, edge: str, source: random.Random, rows: list[Seen]) -> None:
+def _send_with_retry(*, made: Fleet, load: Load, edge: str, source: random.Random, rows: list[Attempt]) -> None:
     tokens = max(int(source.lognormvariate(0, 0.8) * load.tokens_in * 0.73), 50)
     request = made.request(
-        path=load.path, tokens_in=tokens, tokens_out=load.tokens_out, parts=f"own{source.getrandbits(40):x}:{tokens}",
-        deadline=SECOND * load.deadline_s,
+        path=load.path, tokens_in=tokens, tokens_out=load.tokens_out,
+        prefix_blocks=f"own{source.getrandbits(40):x}:{tokens}", deadline=SECOND * load.deadline_s,
     )  # fmt: skip
-    rows.append(seen := Seen(request=request, edge=edge, sent_at=made.world.now()))
+    rows.append(attempt := Attempt(request=request, edge=edge, sent_at=made.world.now()))
     place = len(rows) - 1
     told = made.client.send(edge=edge, request=request)
     if told.status == 503:
         made.outside.sleep(wait=SECOND * float(told.headers["retry-after"]))
         again = dataclasses.replace(request, request_id=f"{request.request_id}b")
-        left = request.deadline - (made.world.now() - seen.sent_at)
+        left = request.deadline - (made.world.now() - attempt.sent_at)
         if left > ms(100):
             told = made.client.send(edge=source.choice(made.edges), request=dataclasses.replace(again, deadline=left))
     rows[place] = told
 
 
-def served_share(*, tries: list[Seen]) -> float:
-    return sum(seen.right for seen in tries) / len(tries)
+def served_share(*, attempts: list[Attempt]) -> float:
+    return sum(attempt.is_correct for attempt in attempts) / len(attempts)
 
 
 @pytest.mark.parametrize("loads", (URGENT_AND_LONG, UNIFORM_LOAD), ids=("urgent and long", "uniform"))
@@ -83,12 +83,16 @@
     """Guards against a service that serves almost no request while too few engines are left (RECOVER)."""
     with fleet(seed=91, phases="d", slots=64) as made:
         engine = made.engines["i-d0"]
-        engine.queue, engine.crowding, engine.pause = ReadingQueue(host=engine.host), DELAY_PER_STREAM, ms(3)
-        tries = run_load(made=made, loads=loads, seconds=30)
-        settled = [seen for seen in tries if seen.sent_at > tries[0].sent_at + 5 * SECOND]
-        by_path = {load.path: [seen for seen in settled if seen.request.path == load.path] for load in loads}
-        shares = {path: round(served_share(tries=rows), 3) for path, rows in by_path.items()}
-        assert served_share(tries=settled) >= MIN_SERVED_SHARE, (served_share(tries=settled), shares)
+        engine.queue, engine.stream_delay, engine.event_interval = (
+            PrefillQueue(host=engine.host),
+            STREAM_DELAY,
+            ms(3),
+        )
+        attempts = run_load(made=made, loads=loads, seconds=30)
+        settled = [attempt for attempt in attempts if attempt.sent_at > attempts[0].sent_at + 5 * SECOND]
+        by_path = {load.path: [attempt for attempt in settled if attempt.request.path == load.path] for load in loads}
+        shares = {path: round(served_share(attempts=rows), 3) for path, rows in by_path.items()}
+        assert served_share(attempts=settled) >= MIN_SERVED_SHARE, (served_share(attempts=settled), shares)
         assert min(shares.values()) >= MIN_SERVED_SHARE / 2, shares
-        assert made.wrong(tries=made.client.tries) == []
-        made.sound()
+        assert made.violations(attempts=made.client.attempts) == []
+        made.assert_no_failures()
--- a/tests/placement_test.py
+++ b/tests/placement_test.py
@@ -8,7 +8,7 @@
 from dockmux.platform_proxy.placement import PARTS_KEPT, Placement, order, shared_key
 from dockmux.platform_proxy.protocol_adapter import EngineEntry, PrefixBlock, RequestMetadata
 from dockmux.runtime.time_units import ZERO, ms
-from tests.standins.still import StillHost
+from tests.standins.manual_clock_host import ManualClockHost
 
 
 def _engine(*, name: str, phase: str = "prefill", zone: str = "hill") -> EngineEntry:
@@ -30,7 +30,7 @@
 
 
 def _placement(*, seed: int = 1) -> Placement:
-    host = StillHost(seed=seed)
+    host = ManualClockHost(seed=seed)
     return Placement(host=host, zone="hill", load_tracker=LoadTracker(host=host))
 
 
@@ -66,7 +66,7 @@
     placement.load_tracker.hear(daemon="other", works={home: [2000, 5]})
     assert _reader(placement=placement, shared="b", engines=READERS + WRITERS) != home
     # Word of the press lapses.
-    placement.host.pass_ms(3100)
+    placement.host.advance_ms(3100)
     assert _reader(placement=placement, shared="b", engines=READERS + WRITERS) == home
 
 
@@ -153,13 +153,13 @@
 
 
 def test_own_work_adds_up_until_it_has_come():
-    host = StillHost()
+    host = ManualClockHost()
     load_tracker = LoadTracker(host=host)
     with load_tracker.streaming(engine="e"), load_tracker.reading(engine="e", span=ms(100)):
         with load_tracker.reading(engine="e", span=ms(50)):
             assert load_tracker.backlog(engine="e") == ms(150) and load_tracker.streams(engine="e") == 1
             assert load_tracker.summary() == {"e": [150, 1]}
-            host.pass_ms(500)
+            host.advance_ms(500)
             assert load_tracker.backlog(engine="e") == ms(150)
         assert load_tracker.backlog(engine="e") == ms(100) and load_tracker.summary() == {"e": [100, 1]}
     assert load_tracker.backlog(engine="e") == ZERO and load_tracker.streams(engine="e") == 0
@@ -167,23 +167,23 @@
 
 
 def test_work_is_given_back_when_the_call_fails():
-    load_tracker = LoadTracker(host=StillHost())
+    load_tracker = LoadTracker(host=ManualClockHost())
     with pytest.raises(OSError), load_tracker.reading(engine="e", span=ms(100)), load_tracker.streaming(engine="e"):
         raise OSError("broken")
     assert load_tracker.summary() == {} and load_tracker.own == {}
 
 
 def test_the_others_work_is_as_they_last_told_and_lapses():
-    host = StillHost()
+    host = ManualClockHost()
     load_tracker = LoadTracker(host=host)
     load_tracker.hear(daemon="a", works={"e": [300, 2]})
     load_tracker.hear(daemon="b", works={"e": [100, 1], "f": [10, 0]})
     assert load_tracker.backlog(engine="e") == ms(400) and load_tracker.streams(engine="e") == 3
     load_tracker.hear(daemon="b", works={})
-    host.pass_ms(100)
+    host.advance_ms(100)
     assert ms(200) <= load_tracker.backlog(engine="e") < ms(300) and load_tracker.streams(engine="e") == 2
     load_tracker.forget(live={"b"})
     assert load_tracker.backlog(engine="e") == ZERO and load_tracker.streams(engine="e") == 0
     load_tracker.hear(daemon="a", works={"e": [9000, 2]})
-    host.pass_ms(3001)
+    host.advance_ms(3001)
     assert load_tracker.backlog(engine="e") == ZERO and load_tracker.streams(engine="e") == 0
--- a/tests/retry_pause_test.py
+++ b/tests/retry_pause_test.py
@@ -4,13 +4,13 @@
 
 from dockmux.platform_proxy.connection_pool import ConnectionPool
 from dockmux.platform_proxy.dispatcher import Dispatcher
-from tests.standins.client import Seen
+from tests.standins.client import Attempt
 from tests.standins.fleet import fleet
 
 MAX_CONNECT_ATTEMPTS = 60
 
 
-def _send_while_no_engine_runs(*, monkeypatch: pytest.MonkeyPatch, back_after: float | None) -> tuple[Seen, int]:
+def _send_while_no_engine_runs(*, monkeypatch: pytest.MonkeyPatch, back_after: float | None) -> tuple[Attempt, int]:
     """Sends one request while no engine runs; the engines start again after `back_after` seconds, if at all.
 
     Returns the request's answer and the number of connection attempts."""
@@ -32,15 +32,15 @@
             for place, engine in enumerate(("i-d0", "i-d1")):
                 made.start_engine(engine=engine, phase="decode", zone=place, place=place + 1)
         made.sleep(seconds=9)
-        seen = made.client.tries[-1]
-        assert made.wrong(tries=[seen]) == []
-        made.sound()
-        return seen, len(connect_attempts)
+        attempt = made.client.attempts[-1]
+        assert made.violations(attempts=[attempt]) == []
+        made.assert_no_failures()
+        return attempt, len(connect_attempts)
 
 
 def test_a_request_that_reaches_no_engine_backs_off_between_attempts(monkeypatch: pytest.MonkeyPatch):
-    seen, connect_attempts = _send_while_no_engine_runs(monkeypatch=monkeypatch, back_after=None)
-    assert seen.refused
+    attempt, connect_attempts = _send_while_no_engine_runs(monkeypatch=monkeypatch, back_after=None)
+    assert attempt.refused
     assert 4 < connect_attempts < MAX_CONNECT_ATTEMPTS
 
 
@@ -51,5 +51,5 @@
 
 
 def test_the_request_is_served_once_an_engine_is_back(monkeypatch: pytest.MonkeyPatch):
-    seen, _ = _send_while_no_engine_runs(monkeypatch=monkeypatch, back_after=0.5)
-    assert seen.right
+    attempt, _ = _send_while_no_engine_runs(monkeypatch=monkeypatch, back_after=0.5)
+    assert attempt.is_correct
--- a/tests/send_model_test.py
+++ b/tests/send_model_test.py
@@ -20,7 +20,7 @@
 from dockmux.runtime.time_units import ms
 from tests import conftest
 from tests.sends_test import PATHS, tokens_out, violations
-from tests.standins.client import Seen
+from tests.standins.client import Attempt
 from tests.standins.engine import EARLY_FAULTS, WIRE_FAULTS
 from tests.standins.fleet import Fleet, fleet
 
@@ -38,13 +38,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Step:
-    """`count` requests sent at the same time, the fault of the next `left` answers, and the pause after the step;
+    """`count` requests sent at the same time, the fault of the next `remaining` answers, and the pause after the step;
     `wait` waits for the requests to end, `crash` kills an engine while they run."""
 
     path: str
     count: int
     fault: str
-    left: int
+    remaining: int
     surplus_after_ms: int
     late_by_ms: int
     tokens_in: int
@@ -58,7 +58,7 @@
     path=st.sampled_from(PATHS),
     count=st.integers(min_value=1, max_value=4),
     fault=st.sampled_from(FAULTS),
-    left=st.integers(min_value=1, max_value=3),
+    remaining=st.integers(min_value=1, max_value=3),
     surplus_after_ms=st.sampled_from((0, 1, 2, 6, 40)),
     late_by_ms=st.sampled_from((300, 1_000, 3_000, 7_900, 9_000)),
     tokens_in=st.sampled_from((100, 1_460, 16_000)),
@@ -76,10 +76,10 @@
 def run_steps(*, made: Fleet, steps: list[Step]) -> list[str]:
     """Executes one run and returns its violations."""
     crashed: tuple[str, ...] = ()
-    tries: list[Seen] = made.client.tries
+    attempts: list[Attempt] = made.client.attempts
     for step in steps:
         faults = made.faults
-        faults.kind, faults.left = step.fault, step.left
+        faults.kind, faults.remaining = step.fault, step.remaining
         faults.surplus_after, faults.late_by = ms(step.surplus_after_ms), ms(step.late_by_ms)
         for _ in range(step.count):
             request = made.request(path=step.path, tokens_out=tokens_out(path=step.path), tokens_in=step.tokens_in)
@@ -92,11 +92,11 @@
             made.sleep(seconds=0.001)
             made.wait_until(what=lambda: not made.open(), limit=timedelta(seconds=12))
         made.sleep(seconds=step.pause_ms / 1000)
-    made.faults.left = 0
+    made.faults.remaining = 0
     made.sleep(seconds=0.1)
     made.wait_until(what=lambda: not made.open(), limit=timedelta(seconds=12))
     made.sleep(seconds=QUIET_SECONDS)
-    found = violations(made=made, tries=tries, crashed=crashed)
+    found = violations(made=made, attempts=attempts, crashed=crashed)
     still_open = made.daemons["edge-0"].request_table.open
     return [*found, f"{still_open} requests still open after their deadlines"] if still_open else found
 
@@ -106,7 +106,7 @@
     with fleet(seed=seed, phases=phases) as made:
         found = run_steps(made=made, steps=steps)
         assert not found, f"engines {phases}, seed {seed}, steps {steps}: {found}"
-        made.sound()
+        made.assert_no_failures()
     gc.freeze()
 
 
@@ -140,18 +140,18 @@
     parser.add_argument("--examples", type=int, default=1000)
     parser.add_argument("--seed", type=int, default=0)
     given = parser.parse_args()
-    left, seed = given.examples, given.seed
-    if left <= EXAMPLES_PER_PROCESS:
-        search(examples=left, seed=seed)
-        print(f"seed {seed}: {left} examples, no violation")
+    remaining, seed = given.examples, given.seed
+    if remaining <= EXAMPLES_PER_PROCESS:
+        search(examples=remaining, seed=seed)
+        print(f"seed {seed}: {remaining} examples, no violation")
         return
-    while left > 0:
-        part = min(left, EXAMPLES_PER_PROCESS)
+    while remaining > 0:
+        part = min(remaining, EXAMPLES_PER_PROCESS)
         arguments = ["--examples", str(part), "--seed", str(seed)]
         ended = subprocess.run([sys.executable, "-m", "tests.send_model_test", *arguments], check=False)
         if ended.returncode:
             raise SystemExit(ended.returncode)
-        left, seed = left - part, seed + 1
+        remaining, seed = remaining - part, seed + 1
 
 
 if __name__ == "__main__":
--- a/tests/sends_test.py
+++ b/tests/sends_test.py
@@ -15,14 +15,14 @@
 from dockmux.runtime.rpc import RpcClient
 from dockmux.runtime.time_units import ms
 from dockmux.simulator.world import SimHost, World
-from tests.standins.client import Seen
+from tests.standins.client import Attempt
 from tests.standins.engine import EARLY_FAULTS, WIRE_FAULTS
 from tests.standins.fleet import Fleet, fleet
 
 PATHS = ("/notes/a", "/once/b", "/check/c", "/write/d")
 REPEATABLE = ("/notes/", "/check/")
 TRIES = 2
-# Faults after which a repeatable request has no time left to be answered by another engine.
+# Faults after which a repeatable request has no time remaining to be answered by another engine.
 DEADLINE_FAULTS = ("silence", "late", "unannounced, then silent", "closing, then silent")
 # Faults after which the client has the beginning of an answer that cannot be resumed.
 PARTIAL_ANSWER_FAULTS = ("cut chunk",)
@@ -32,33 +32,33 @@
     return 0 if path.startswith(("/check/", "/write/")) else 12
 
 
-def violations(*, made: Fleet, tries: list[Seen], crashed: tuple[str, ...] = ()) -> list[str]:
+def violations(*, made: Fleet, attempts: list[Attempt], crashed: tuple[str, ...] = ()) -> list[str]:
     """The violations of the rules of sends, by what the clients and the engines received."""
-    found = made.wrong(tries=tries)
-    for seen in tries:
-        name = seen.request.request_id
-        rows = made.record.of(request_id=name)
+    found = made.violations(attempts=attempts)
+    for attempt in attempts:
+        name = attempt.request.request_id
+        rows = made.record.arrivals_of(request_id=name)
         runs = {row.engine for row in rows if row.what == "run"} - set(crashed)
         if len(runs) > TRIES:
             found.append(f"{name}: ran on {len(runs)} engines")
-        if 0 < seen.status < 200:
-            found.append(f"{name}: an interim answer {seen.status} was relayed")
-        if "x-seal" in seen.headers and seen.status not in {row.status for row in rows}:
-            found.append(f"{name}: a sealed {seen.status} that no engine gave")
+        if 0 < attempt.status < 200:
+            found.append(f"{name}: an interim answer {attempt.status} was relayed")
+        if "x-seal" in attempt.headers and attempt.status not in {row.status for row in rows}:
+            found.append(f"{name}: a sealed {attempt.status} that no engine gave")
     return found
 
 
-def send_through_fault(*, made: Fleet, path: str, fault: str, left: int = 1) -> list[Seen]:
+def send_through_fault(*, made: Fleet, path: str, fault: str, remaining: int = 1) -> list[Attempt]:
     """Sends requests before, during and after a fault, one at a time, to one data daemon."""
     out = tokens_out(path=path)
-    tries = [made.send(path=path, tokens_out=out, tokens_in=100)]
-    made.faults.kind, made.faults.left = fault, left
+    attempts = [made.send(path=path, tokens_out=out, tokens_in=100)]
+    made.faults.kind, made.faults.remaining = fault, remaining
     for _ in range(3):
-        tries.append(made.send(path=path, tokens_out=out, tokens_in=100))
+        attempts.append(made.send(path=path, tokens_out=out, tokens_in=100))
         made.sleep(seconds=0.1)
-    made.faults.left = 0
+    made.faults.remaining = 0
     made.sleep(seconds=1.1)
-    return tries
+    return attempts
 
 
 @pytest.mark.parametrize("fault", WIRE_FAULTS + EARLY_FAULTS)
@@ -66,14 +66,16 @@
 def test_no_connection_fault_causes_a_violation(fault, phases):
     with fleet(seed=21, phases=phases) as made:
         for path in PATHS:
-            tries = send_through_fault(made=made, path=path, fault=fault)
-            assert violations(made=made, tries=tries) == []
-            assert tries[0].right
+            attempts = send_through_fault(made=made, path=path, fault=fault)
+            assert violations(made=made, attempts=attempts) == []
+            assert attempts[0].is_correct
             if phases == "ddd" and path.startswith(REPEATABLE) and fault not in DEADLINE_FAULTS:
                 resumed = path.startswith("/notes/") or fault not in PARTIAL_ANSWER_FAULTS
-                assert all(seen.right for seen in tries) is resumed, [seen.status for seen in tries]
+                assert all(attempt.is_correct for attempt in attempts) is resumed, [
+                    attempt.status for attempt in attempts
+                ]
             assert made.daemons["edge-0"].request_table.open == 0, "still open after its deadline"
-        made.sound()
+        made.assert_no_failures()
 
 
 def test_a_request_whose_sending_was_interrupted_may_have_run():
@@ -81,40 +83,43 @@
     with fleet(seed=22, phases="ddd") as made:
         body = b"x" * 1_000_000
         for path in ("/write/d", "/check/c"):
-            made.faults.kind, made.faults.left = "reset in send", 1
-            seen = made.send(path=path, tokens_out=0, tokens_in=100, body=body)
-            assert violations(made=made, tries=[seen]) == []
-            assert (seen.status, seen.right) == ((502, False) if path == "/write/d" else (200, True))
-        made.sound()
+            made.faults.kind, made.faults.remaining = "reset in send", 1
+            attempt = made.send(path=path, tokens_out=0, tokens_in=100, body=body)
+            assert violations(made=made, attempts=[attempt]) == []
+            assert (attempt.status, attempt.is_correct) == ((502, False) if path == "/write/d" else (200, True))
+        made.assert_no_failures()
 
 
 def test_an_interim_answer_is_skipped():
     with fleet(seed=23, phases="d") as made:
         for fault in ("interim 100", "interim 103"):
             for path in PATHS:
-                assert all(seen.right for seen in send_through_fault(made=made, path=path, fault=fault)), (fault, path)
-        made.sound()
+                assert all(attempt.is_correct for attempt in send_through_fault(made=made, path=path, fault=fault)), (
+                    fault,
+                    path,
+                )
+        made.assert_no_failures()
 
 
 def test_a_body_delimited_by_the_connections_end_is_not_relayed():
     """A crashed engine's connections end in the same way as those of an engine that has finished."""
     with fleet(seed=24, phases="dd") as made:
         for path in PATHS:
-            tries = send_through_fault(made=made, path=path, fault="unannounced")
-            assert [seen.right for seen in tries] == [True, path.startswith(REPEATABLE), True, True]
+            attempts = send_through_fault(made=made, path=path, fault="unannounced")
+            assert [attempt.is_correct for attempt in attempts] == [True, path.startswith(REPEATABLE), True, True]
         assert violations_of_a_crash(made=made) == []
-        made.sound()
+        made.assert_no_failures()
 
 
 def violations_of_a_crash(*, made: Fleet) -> list[str]:
     """The violations when engines crash in the middle of a body delimited by the connection's end."""
-    made.faults.kind, made.faults.left = "unannounced, then silent", 1
+    made.faults.kind, made.faults.remaining = "unannounced, then silent", 1
     made.client.start(edge=made.edges[0], request=made.request(path="/once/b", tokens_in=100))
     made.sleep(seconds=0.1)
     for name in list(made.engines):
         made.kill(name=name)
     made.sleep(seconds=10)
-    return violations(made=made, tries=made.client.tries[-1:])
+    return violations(made=made, attempts=made.client.attempts[-1:])
 
 
 # States.
@@ -167,10 +172,10 @@
 # With a check removed, the violation is found.
 
 
-def violations_of(*, fault: str, path: str, phases: str = "d", left: int = 1) -> str:
+def violations_of(*, fault: str, path: str, phases: str = "d", remaining: int = 1) -> str:
     with fleet(seed=25, phases=phases) as made:
-        tries = send_through_fault(made=made, path=path, fault=fault, left=left)
-        return "; ".join(violations(made=made, tries=tries))
+        attempts = send_through_fault(made=made, path=path, fault=fault, remaining=remaining)
+        return "; ".join(violations(made=made, attempts=attempts))
 
 
 def check_without_request_id(self, *, record, answer, prefill):
@@ -181,7 +186,7 @@
 def test_without_the_request_id_another_requests_rejection_would_be_accepted(monkeypatch):
     monkeypatch.setattr(EngineClient, "_find_defect", check_without_request_id)
     assert "ran 2 times" in violations_of(fault="another's refusal", path="/write/d")
-    assert "refused with 503 after it ran" in violations_of(fault="another's refusal", path="/write/d", left=2)
+    assert "refused with 503 after it ran" in violations_of(fault="another's refusal", path="/write/d", remaining=2)
     assert "ran 2 times" in violations_of(fault="another's refusal", path="/once/b", phases="ddd")
 
 
@@ -223,19 +228,19 @@
     """Half of a second answer would be lost with the first one's buffer, and the rest parsed as the next answer."""
     monkeypatch.setattr(HttpClientConnection, "has_surplus", False)
     with fleet(seed=25, phases="ddd") as made:
-        tries = send_through_fault(made=made, path="/check/c", fault="doubled")
-        assert not all(seen.right for seen in tries)
+        attempts = send_through_fault(made=made, path="/check/c", fault="doubled")
+        assert not all(attempt.is_correct for attempt in attempts)
 
 
 def test_without_its_state_a_request_with_unknown_outcome_would_be_sent_again(monkeypatch):
     monkeypatch.setattr(UnknownOutcome, "state", SendState.REJECTED)
     assert "ran 2 times" in violations_of(fault="reset", path="/write/d", phases="ddd")
-    assert "refused with 503 after it ran" in violations_of(fault="reset", path="/once/b", left=2)
+    assert "refused with 503 after it ran" in violations_of(fault="reset", path="/once/b", remaining=2)
 
 
 def test_without_counting_tries_a_request_would_run_on_too_many_engines(monkeypatch):
     monkeypatch.setattr(SendState, "counts_as_try", property(lambda state: False))
-    assert "ran on 3 engines" in violations_of(fault="reset", path="/check/c", phases="ddd", left=3)
+    assert "ran on 3 engines" in violations_of(fault="reset", path="/check/c", phases="ddd", remaining=3)
 
 
 def test_without_the_checks_of_idle_connections_and_request_ids_a_surplus_answer_would_reach_another_client(
--- a/tests/settings_file_test.py
+++ b/tests/settings_file_test.py
@@ -6,7 +6,7 @@
 import settings_file
 
 from dockmux.runtime.settings import BadSetting
-from tests.standins.fleet import lines
+from tests.standins.fleet import settings_lines
 
 
 def _write(*, tmp_path, monkeypatch, data: bytes) -> None:
@@ -16,7 +16,7 @@
 
 
 def test_lines_are_read_and_unknown_ones_do_no_harm(tmp_path, monkeypatch):
-    rows = lines(name="edge-a", zone=0, machine="edge")
+    rows = settings_lines(name="edge-a", zone=0, machine="edge")
     text = "\n".join(["# a comment", "", "not a line", *(f"{name} = {value}" for name, value in rows.items())])
     _write(tmp_path=tmp_path, monkeypatch=monkeypatch, data=text.encode())
     read = settings_file.read()
@@ -29,14 +29,14 @@
 
 
 def test_a_core_has_its_control_address_and_its_folder():
-    settings = settings_file.settings(lines=lines(name="core-a", zone=1, machine="core", bootstrap="false"))
+    settings = settings_file.settings(lines=settings_lines(name="core-a", zone=1, machine="core", bootstrap="false"))
     assert (settings.http, settings.data_folder, settings.may_found) == ("10.2.0.1:8166", "/data", False)
-    wide = settings_file.settings(lines=lines(name="core-a", zone=1, machine="core", **{"survive.nodes": "2"}))
+    wide = settings_file.settings(lines=settings_lines(name="core-a", zone=1, machine="core", **{"survive.nodes": "2"}))
     assert (wide.cores, wide.copies) == (5, 3)
 
 
 def test_bounds_become_spans():
-    deployment = settings_file.deployment(lines=lines(name="edge-a", zone=0, machine="edge"))
+    deployment = settings_file.deployment(lines=settings_lines(name="edge-a", zone=0, machine="edge"))
     assert deployment.retry_ratio == 0.2 and deployment.retry_window == timedelta(seconds=10)
     assert deployment.drain == timedelta(seconds=3) and deployment.list_address == "10.200.0.9:8169"
     assert (deployment.front, deployment.ready) == ("10.1.0.2:8161", "10.1.0.2:8167")
@@ -65,7 +65,7 @@
     ],
 )
 def test_a_bad_line_is_told_on_one_line_that_names_it(name, value):
-    rows = lines(name="edge-a", zone=0, machine="edge") | {name: value}
+    rows = settings_lines(name="edge-a", zone=0, machine="edge") | {name: value}
     with pytest.raises(BadSetting) as caught:
         settings_file.settings(lines=rows)
     text = str(caught.value)
@@ -86,7 +86,7 @@
     ],
 )
 def test_a_bad_bound_is_told_on_one_line_that_names_it(name, value):
-    rows = lines(name="edge-a", zone=0, machine="edge") | {name: value}
+    rows = settings_lines(name="edge-a", zone=0, machine="edge") | {name: value}
     with pytest.raises(BadSetting) as caught:
         settings_file.deployment(lines=rows)
     text = str(caught.value)
@@ -111,5 +111,5 @@
 )
 def test_whatever_may_be_lost_at_once_leaves_a_copy_and_a_majority(survive, copies):
     changed = {f"survive.{what}": count for what, count in {"zones": "0", "rgns": "0", **survive}.items()}
-    read = settings_file.settings(lines=lines(name="core-0", zone=0, machine="core", **changed))
+    read = settings_file.settings(lines=settings_lines(name="core-0", zone=0, machine="core", **changed))
     assert (read.copies, read.cores) == (copies, 2 * copies - 1)
--- a/tests/silence_test.py
+++ b/tests/silence_test.py
@@ -13,4 +13,4 @@
         made.sleep(seconds=0.5)
         made.daemons["edge-0"].verdicts.note_failure(engine="i-d0", why="test")
         made.sleep(seconds=3)
-        assert tries and tries[0].right, [(seen.status, seen.error) for seen in tries]
+        assert tries and tries[0].is_correct, [(seen.status, seen.error) for seen in tries]
--- a/tests/standins/client.py
+++ b/tests/standins/client.py
@@ -1,4 +1,4 @@
-"""A client: one try of a request, with every byte that came back and when."""
+"""Client that records every byte of its answers and when it arrived."""
 
 import contextlib
 import dataclasses
@@ -11,13 +11,13 @@
 from tests.standins.engine import plain_body, stream_body
 
 CONNECT_LIMIT = timedelta(seconds=1)
-# How long a client listens for bytes that nobody asked for.
-AFTER = timedelta(milliseconds=40)
+# How long the client waits for surplus bytes after a complete answer.
+SURPLUS_WAIT = timedelta(milliseconds=40)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Request:
-    """Invariant: a request with `tokens_out` of 0 wants a plain answer, any other a stream of so many events."""
+    """Invariant: with `tokens_out` of 0 the answer is a single body, otherwise a stream of `tokens_out` events."""
 
     request_id: str
     path: str
@@ -26,19 +26,19 @@
     body: bytes = b'{"prompt": "which track"}'
     tokens_in: int = 1460
     tokens_out: int = 12
-    parts: str = "5c1e07a2:800,91bd3f06:410,e4402b7d:250"
+    prefix_blocks: str = "5c1e07a2:800,91bd3f06:410,e4402b7d:250"
     deadline: timedelta = timedelta(seconds=8)
     last_event: int = 0
     chunked: bool = False
 
-    def wire(self) -> bytes:
+    def to_bytes(self) -> bytes:
         lines = [
             f"{self.method} {self.path} HTTP/1.1",
             f"Host: {self.host}",
             f"X-Request-Id: {self.request_id}",
             "X-Model: m",
             f"X-Tokens: {self.tokens_in},{self.tokens_out}",
-            f"X-Prompt-Prefix: {self.parts}",
+            f"X-Prompt-Prefix: {self.prefix_blocks}",
             f"X-Deadline-Ms: {self.deadline // ms(1)}",
         ]
         if self.last_event:
@@ -49,18 +49,18 @@
             data = f"{len(self.body):x}\r\n".encode() + self.body + b"\r\n0\r\n\r\n"
         return "\r\n".join(lines).encode() + b"\r\n\r\n" + data
 
-    def answer(self) -> bytes:
-        """The whole body of the right answer."""
+    def expected_body(self) -> bytes:
+        """The complete body of the correct answer."""
         if self.tokens_out:
             return stream_body(request_id=self.request_id, count=self.tokens_out, after=self.last_event)
         return plain_body(request_id=self.request_id, body=self.body)
 
 
 @dataclasses.dataclass(kw_only=True)
-class Seen:
-    """What came back of one try. Invariants: `received` holds every byte with its true time; `status` is 0 while no
-    head came; `whole` is true only if the answer was brought to its end as its head announced; `surplus` is what came
-    behind it."""
+class Attempt:
+    """One attempt of a request, and what was received for it. Invariants: `received` has every byte with its simulated
+    time; `status` is 0 while no head has arrived; `complete` is true only if the answer ended as its head announced;
+    `surplus` are the bytes after it."""
 
     request: Request
     edge: str
@@ -69,7 +69,7 @@
     status: int = 0
     headers: dict[str, str] = dataclasses.field(default_factory=dict)
     body: bytes = b""
-    whole: bool = False
+    complete: bool = False
     surplus: bytes = b""
     error: str = ""
 
@@ -78,16 +78,17 @@
         return self.received[-1][0] if self.received else self.sent_at
 
     @property
-    def right(self) -> bool:
-        """A whole, own, sealed success with nothing behind it."""
+    def is_correct(self) -> bool:
+        """Whether it is a complete, sealed success for this request, with no bytes after it."""
         sealed = self.headers.get("x-seal", "").endswith("." + self.request.request_id)
         own = self.headers.get("x-request-id") == self.request.request_id
-        same = self.body == self.request.answer() and "content-encoding" not in self.headers
-        return self.status == 200 and self.whole and sealed and own and same and not self.surplus
+        same = self.body == self.request.expected_body() and "content-encoding" not in self.headers
+        return self.status == 200 and self.complete and sealed and own and same and not self.surplus
 
     @property
-    def harmless(self) -> bool:
-        """Not right, and yet nothing that is false: a failure, or an own answer that was cut and shows it."""
+    def is_safe(self) -> bool:
+        """Whether an answer that is not correct contains nothing false either: it is a failure, or this request's
+        answer, recognizably truncated."""
         if self.status == 0:
             return not self.received
         if not 200 <= self.status < 300:
@@ -95,15 +96,15 @@
         sealed = self.headers.get("x-seal", "").endswith("." + self.request.request_id)
         if "content-encoding" in self.headers:
             return False
-        return not self.whole and sealed and self.request.answer().startswith(self.body)
+        return not self.complete and sealed and self.request.expected_body().startswith(self.body)
 
     @property
     def refused(self) -> bool:
-        """A promise that the request has not run and will not."""
+        """Whether the answer states that the request was not run and will not be."""
         return self.status in (408, 421, 429, 503)
 
-    def read(self) -> None:
-        """Takes apart what has come so far."""
+    def parse(self) -> None:
+        """Parses what has been received so far."""
         data = b"".join(piece for _, piece in self.received)
         head, end, rest = data.partition(b"\r\n\r\n")
         if not end:
@@ -115,15 +116,15 @@
             name, _, value = line.partition(":")
             self.headers[name.strip().lower()] = value.strip()
         if self.headers.get("transfer-encoding") == "chunked":
-            self._read_chunks(rest=rest)
+            self._parse_chunks(rest=rest)
         elif self.headers.get("content-length", "").isdigit():
             length = int(self.headers["content-length"])
             self.body, self.surplus = rest[:length], rest[length:]
-            self.whole = len(self.body) == length
+            self.complete = len(self.body) == length
         else:
             self.body = rest
 
-    def _read_chunks(self, *, rest: bytes) -> None:
+    def _parse_chunks(self, *, rest: bytes) -> None:
         body = []
         while True:
             size, end, after = rest.partition(b"\r\n")
@@ -132,62 +133,62 @@
             length = int(size, 16)
             rest = after[length + 2 :]
             if length == 0:
-                self.whole, self.surplus = True, rest
+                self.complete, self.surplus = True, rest
                 break
             body.append(after[:length])
         self.body = b"".join(body)
 
 
 class Client:
-    """Invariant: `tries` holds every try that was begun, in order."""
+    """Invariant: `attempts` has every attempt that was started, in order."""
 
     def __init__(self, *, host: SimHost) -> None:
         self.host = host
-        self.tries: list[Seen] = []
+        self.attempts: list[Attempt] = []
 
-    def send(self, *, edge: str, request: Request) -> Seen:
-        """One try on a connection of its own, until its deadline and a little longer."""
-        seen = Seen(request=request, edge=edge, sent_at=self.host.world.now())
-        self.tries.append(seen)
+    def send(self, *, edge: str, request: Request) -> Attempt:
+        """Sends a request on its own connection and waits until 500 ms after its deadline."""
+        attempt = Attempt(request=request, edge=edge, sent_at=self.host.world.now())
+        self.attempts.append(attempt)
         try:
             with self.host.connect(address=edge, wait=CONNECT_LIMIT) as stream:
-                self._exchange(stream=stream, seen=seen)
+                self._exchange(stream=stream, attempt=attempt)
         except OSError as error:
-            seen.error = errno.errorcode.get(error.errno or 0, "") or str(error)
-        return seen
+            attempt.error = errno.errorcode.get(error.errno or 0, "") or str(error)
+        return attempt
 
-    def send_many(self, *, edge: str, requests: list[Request], pause: timedelta = timedelta()) -> list[Seen]:
-        """Tries one after the other on one connection, while it lasts."""
+    def send_many(self, *, edge: str, requests: list[Request], pause: timedelta = timedelta()) -> list[Attempt]:
+        """Sends requests one after the other on one connection, until that is closed."""
         rows = []
         with self.host.connect(address=edge, wait=CONNECT_LIMIT) as stream:
             for request in requests:
-                seen = Seen(request=request, edge=edge, sent_at=self.host.world.now())
-                self.tries.append(seen)
-                rows.append(seen)
+                attempt = Attempt(request=request, edge=edge, sent_at=self.host.world.now())
+                self.attempts.append(attempt)
+                rows.append(attempt)
                 try:
-                    self._exchange(stream=stream, seen=seen)
+                    self._exchange(stream=stream, attempt=attempt)
                 except OSError as error:
-                    seen.error = str(error)
-                if not seen.whole or "close" in seen.headers.get("connection", ""):
+                    attempt.error = str(error)
+                if not attempt.complete or "close" in attempt.headers.get("connection", ""):
                     break
                 self.host.sleep(wait=pause)
         return rows
 
-    def _exchange(self, *, stream: object, seen: Seen) -> None:
-        stream.sendall(seen.request.wire())
-        with time_limit(wait=seen.request.deadline + ms(500)):
-            while not seen.whole:
-                if not self._receive(stream=stream, seen=seen):
+    def _exchange(self, *, stream: object, attempt: Attempt) -> None:
+        stream.sendall(attempt.request.to_bytes())
+        with time_limit(wait=attempt.request.deadline + ms(500)):
+            while not attempt.complete:
+                if not self._receive(stream=stream, attempt=attempt):
                     return
-        with contextlib.suppress(TimeoutError), time_limit(wait=AFTER):
-            while self._receive(stream=stream, seen=seen):
+        with contextlib.suppress(TimeoutError), time_limit(wait=SURPLUS_WAIT):
+            while self._receive(stream=stream, attempt=attempt):
                 continue
 
-    def _receive(self, *, stream: object, seen: Seen) -> bool:
+    def _receive(self, *, stream: object, attempt: Attempt) -> bool:
         data = stream.recv(65536)
         if data:
-            seen.received.append((self.host.world.now(), data))
-            seen.read()
+            attempt.received.append((self.host.world.now(), data))
+            attempt.parse()
         return bool(data)
 
     def start(self, *, edge: str, request: Request) -> None:
--- a/tests/standins/engine_list.py
+++ b/tests/standins/engine_list.py
@@ -1,4 +1,4 @@
-"""The platform's list of engines."""
+"""Simulated engine list service of the platform."""
 
 import dataclasses
 from collections.abc import Iterator
@@ -12,22 +12,24 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Call:
+class ListCall:
+    """One request to the list: when, the caller's IP, and the page token."""
+
     at: timedelta
     by: str
     page: str
 
 
 class EngineList:
-    """Invariants: `rows` are what it shows now, by id; `calls` are all that came, in order; each answer waits for
-    `delay` first; while `failing`, every answer is a 503."""
+    """Invariants: `rows` are the current entries by engine id; `calls` are all requests in order; every answer is
+    delayed by `delay`; while `failing`, every answer is a 503."""
 
     def __init__(self, *, host: SimHost, address: str, page_size: int = 4) -> None:
         self.host = host
         self.address = address
         self.page_size = page_size
         self.rows: dict[str, dict[str, Any]] = {}
-        self.calls: list[Call] = []
+        self.calls: list[ListCall] = []
         self.delay = timedelta()
         self.failing = False
 
@@ -46,7 +48,7 @@
     def handle_http(self, exchange: HttpExchange) -> list[bytes]:
         query = exchange.environ.get("QUERY_STRING") or ""
         page = query.partition("pg_tok=")[2]
-        self.calls.append(Call(at=self.host.world.now(), by=exchange.environ["REMOTE_ADDR"], page=page))
+        self.calls.append(ListCall(at=self.host.world.now(), by=exchange.environ["REMOTE_ADDR"], page=page))
         self.host.sleep(wait=self.delay)
         if self.failing or exchange.path != "/engines":
             return exchange.reply(status=503 if self.failing else 404, fields={})
--- a/tests/standins/fleet.py
+++ b/tests/standins/fleet.py
@@ -1,4 +1,4 @@
-"""Three control daemons, three data daemons and some engines, on the platform's settings lines."""
+"""Simulated fleet of three control daemons, three data daemons and engines, configured by settings lines."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -16,27 +16,27 @@
 from dockmux.runtime.log_events import LogEvent
 from dockmux.runtime.time_units import ms
 from dockmux.simulator.world import SimHost, World
-from tests.standins.client import Client, Request, Seen
+from tests.standins.client import Attempt, Client, Request
 from tests.standins.engine import Engine, Faults, Record
 from tests.standins.engine_list import EngineList
-from tests.standins.operator import Operator, configuration, packed
+from tests.standins.operator import Operator, configuration, serialize
 
 ZONES = ("hill", "lake", "wood")
 LIST_ADDRESS = "10.200.0.9:8169"
 SECOND = timedelta(seconds=1)
-LONG = 16_000
-RATIO, EXTRA = 0.2, 58
+LONG_PROMPT_TOKENS = 16_000
+RETRY_RATIO, RETRY_EXTRA = 0.2, 58
 
 
-def lines(*, name: str, zone: int, machine: str, **changed: str) -> dict[str, str]:
+def settings_lines(*, name: str, zone: int, machine: str, **changed: str) -> dict[str, str]:
     """A daemon's settings lines as the platform writes them."""
     ip = f"10.{zone + 1}.0.{1 if machine == 'core' else 2}"
     rows = {
         "nodename": name, "role": machine, "mclass": machine, "ip": ip, "az": ZONES[zone], "rgn": "coast",
         "port_range": "7720,7735", "seeds": ",".join(f"10.{n + 1}.0.1:8166" for n in range(3)), "bootstrap": "true",
         "survive.nodes": "1", "bounds.drain_ms": "3000", "bounds.live_ms": "3000", "bounds.grace_s": "8",
-        "bounds.apply_ms": "2000", "bounds.retry_ratio": str(RATIO), "bounds.retry_win_s": "10",
-        "bounds.retry_extra": str(EXTRA), "bounds.lease_ms": "3000", "bounds.thaw_ms": "300",
+        "bounds.apply_ms": "2000", "bounds.retry_ratio": str(RETRY_RATIO), "bounds.retry_win_s": "10",
+        "bounds.retry_extra": str(RETRY_EXTRA), "bounds.lease_ms": "3000", "bounds.thaw_ms": "300",
         "cloud.addr": LIST_ADDRESS, "cloud.rate_per_s": "47.0", "cloud.lag_ms": "800", "unknown.field": "x=y",
     }  # fmt: skip
     if machine == "core":
@@ -47,8 +47,8 @@
 
 
 class Fleet:
-    """Invariants: `hosts` names the process that runs now under a name; `daemons` the daemon in it; what happened is
-    taken from the stand-ins' records, never from the daemons."""
+    """Invariants: `hosts` maps a name to the process that runs under it, `daemons` to the daemon in that process;
+    violations are judged by what clients and engines recorded, never by the daemons' own state."""
 
     def __init__(self, *, world: World, extra: int) -> None:
         self.world = world
@@ -62,7 +62,7 @@
         world.machine(ip="10.99.0.1", site="outside", true_clock=True)
         self.outside = SimHost(world=world, name="outside", machine=world.machine(ip="10.99.0.1", site="outside"))
         self.client = Client(host=self.outside)
-        self.operator = Operator(host=self.outside, controls=[f"10.{n + 1}.0.1:8166" for n in range(3)])
+        self.operator = Operator(host=self.outside, addresses=[f"10.{n + 1}.0.1:8166" for n in range(3)])
         self.edges = [f"10.{n + 1}.0.2:8161" for n in range(3)]
         self.sent = 0
 
@@ -82,7 +82,7 @@
         self.hosts[name] = self.world.start(name=name, ip=ip, site=zone, run=run)
 
     def start_daemon(self, *, name: str) -> None:
-        """Every start but a daemon's first is told that it is not the first of the whole system."""
+        """Starts or restarts a daemon; its settings say `bootstrap` at its first start only."""
         rows = self.lines[name]
         settings = settings_file.settings(lines=rows)
         deployment = settings_file.deployment(lines=rows)
@@ -120,10 +120,11 @@
     def kill(self, *, name: str) -> None:
         self.hosts[name].kill()
 
-    # Bringing up.
+    # Start-up.
 
-    def begin(self, *, phases: str, slots: int = 64) -> None:
-        """`phases` has a letter for each engine: p reads prompts, d writes answers."""
+    def start(self, *, phases: str, slots: int = 64) -> None:
+        """Starts all processes and waits until the data daemons are ready. `phases` has a letter for each engine: p for
+        prefill, d for decode."""
         ip = LIST_ADDRESS.partition(":")[0]
         self.world.machine(ip=ip, site="outside", true_clock=True)
         self.list = EngineList(host=self.outside, address=LIST_ADDRESS)
@@ -135,10 +136,10 @@
             for machine in ("core", "edge"):
                 name = f"{machine}-{zone}"
                 extra = {"bounds.retry_extra": str(self.extra)}
-                self.lines[name] = lines(name=name, zone=zone, machine=machine, **extra)
+                self.lines[name] = settings_lines(name=name, zone=zone, machine=machine, **extra)
         for name in self.lines:
             self.start_daemon(name=name)
-        status = self.operator.put(text=packed(fields=configuration()), base=0, limit=20 * SECOND)
+        status = self.operator.put(text=serialize(fields=configuration()), base=0, limit=20 * SECOND)
         assert status == 200, status
         assert self.wait_until(what=self.ready, limit=20 * SECOND), "not ready"
         self.sleep(seconds=2)
@@ -151,11 +152,11 @@
         return all(self.is_ready(zone=zone) for zone in range(3))
 
     def is_ready(self, *, zone: int) -> bool:
-        """As the platform asks."""
+        """Whether a data daemon is ready, by the readiness check that the platform uses."""
         try:
             address = f"10.{zone + 1}.0.2:8167"
-            told = fetch(host=self.outside, address=address, method="GET", path="/dockmux/readyz", wait=SECOND)
-            return told[0] == 200
+            reply = fetch(host=self.outside, address=address, method="GET", path="/dockmux/readyz", wait=SECOND)
+            return reply[0] == 200
         except (OSError, ValueError):
             return False
 
@@ -175,20 +176,20 @@
     def request(self, *, path: str, **fields: Any) -> Request:
         self.sent += 1
         name = f"{self.sent:08x}"
-        # Every other prompt is so long that it is worth being read apart.
-        own = LONG if self.sent % 2 else 660
-        parts = f"shared{self.sent % 5}:800,own{name}:{own}"
-        return Request(**{"request_id": name, "path": path, "parts": parts, "tokens_in": 800 + own, **fields})
+        # Every other prompt is long enough for a prefill on a separate engine.
+        own = LONG_PROMPT_TOKENS if self.sent % 2 else 660
+        prefix = f"shared{self.sent % 5}:800,own{name}:{own}"
+        return Request(**{"request_id": name, "path": path, "prefix_blocks": prefix, "tokens_in": 800 + own, **fields})
 
-    def send(self, *, path: str, zone: int = 0, **fields: Any) -> Seen:
+    def send(self, *, path: str, zone: int = 0, **fields: Any) -> Attempt:
         return self.client.send(edge=self.edges[zone], request=self.request(path=path, **fields))
 
-    def load(
+    def send_load(
         self, *, paths: tuple[str, ...], per_second: float, seconds: float, zones: tuple[int, ...] = (0, 1, 2),
         **fields: Any,
-    ) -> list[Seen]:  # fmt: skip
-        """Requests at an even pace, spread over paths and daemons; returns when all are answered or given up."""
-        first = len(self.client.tries)
+    ) -> list[Attempt]:  # fmt: skip
+        """Sends requests at a constant rate, over paths and daemons in turn; returns when all have ended."""
+        first = len(self.client.attempts)
         count = round(per_second * seconds)
         for place in range(count):
             request = self.request(
@@ -199,54 +200,59 @@
             self.sleep(seconds=1 / per_second)
         self.sleep(seconds=1)
         self.wait_until(what=lambda: not self.open(), limit=10 * SECOND)
-        return self.client.tries[first:]
-
-    def open(self) -> list[Seen]:
-        return [seen for seen in self.client.tries if not seen.whole and not seen.error and not self._over(seen=seen)]
-
-    def _over(self, *, seen: Seen) -> bool:
-        return self.world.now() - seen.sent_at > seen.request.deadline + ms(600)
-
-    # Judging.
-
-    def wrong(self, *, tries: list[Seen]) -> list[str]:
-        """Each breach of what holds whatever happens: nothing false reaches a client, what may not be repeated runs
-        once at most, a refusal is kept, every run is of a request that was sent and goes on from its own memory."""
-        told = []
-        for seen in tries:
-            name = seen.request.request_id
-            rows = self.record.of(request_id=name)
+        return self.client.attempts[first:]
+
+    def open(self) -> list[Attempt]:
+        return [
+            attempt
+            for attempt in self.client.attempts
+            if not attempt.complete and not attempt.error and not self._over(attempt=attempt)
+        ]
+
+    def _over(self, *, attempt: Attempt) -> bool:
+        return self.world.now() - attempt.sent_at > attempt.request.deadline + ms(600)
+
+    # Checks.
+
+    def violations(self, *, attempts: list[Attempt]) -> list[str]:
+        """Violations of the rules that always hold: no client receives a false answer; a non-repeatable request runs at
+        most once, and not at all if it is refused; every run belongs to a request that was sent and starts from that
+        request's KV cache."""
+        found = []
+        for attempt in attempts:
+            name = attempt.request.request_id
+            rows = self.record.arrivals_of(request_id=name)
             runs = [row for row in rows if row.what == "run"]
-            if not seen.right and not seen.harmless:
-                told.append(f"{name}: a false answer {seen.status} {seen.body[:80]!r} {seen.surplus[:80]!r}")
-            if seen.request.path.startswith(("/once/", "/write/")):
+            if not attempt.is_correct and not attempt.is_safe:
+                found.append(f"{name}: a false answer {attempt.status} {attempt.body[:80]!r} {attempt.surplus[:80]!r}")
+            if attempt.request.path.startswith(("/once/", "/write/")):
                 if len(runs) > 1:
-                    told.append(f"{name}: ran {len(runs)} times")
-                if seen.refused and runs:
-                    told.append(f"{name}: refused with {seen.status} after it ran")
+                    found.append(f"{name}: ran {len(runs)} times")
+                if attempt.refused and runs:
+                    found.append(f"{name}: refused with {attempt.status} after it ran")
             for row in rows:
-                if (row.target, row.body) != (seen.request.path, seen.request.body):
-                    told.append(f"{name}: changed on its way to {row.engine}")
-                if row.memory_of not in ("", name):
-                    told.append(f"{name}: goes on from the memory of {row.memory_of}")
-        sent = {seen.request.request_id for seen in self.client.tries}
-        told += [f"{row.request_id}: nobody sent it" for row in self.record.arrivals if row.request_id not in sent]
-        return told
-
-    def turns(self) -> list[str]:
-        """Each breach of what holds for orders to one engine: a fence has one owner, none is lower than one before,
-        and owners do not take turns within the lease."""
-        told = []
+                if (row.target, row.body) != (attempt.request.path, attempt.request.body):
+                    found.append(f"{name}: changed on its way to {row.engine}")
+                if row.kv_cache_of not in ("", name):
+                    found.append(f"{name}: started from the KV cache of {row.kv_cache_of}")
+        sent = {attempt.request.request_id for attempt in self.client.attempts}
+        found += [f"{row.request_id}: nobody sent it" for row in self.record.arrivals if row.request_id not in sent]
+        return found
+
+    def order_conflicts(self) -> list[str]:
+        """Violations of the rules for phase orders to one engine: a fence has one owner, fences never decrease, and the
+        owner does not change within a lease."""
+        found = []
         for engine in {name for _, name, _ in self.record.orders}:
             rows = [(at, fields["owner"], fields["fence"]) for at, name, fields in self.record.orders if name == engine]
             for (before, owner, fence), (at, other, later) in zip(rows, rows[1:], strict=False):
                 if later < fence or (owner != other and (later == fence or at - before < 3 * SECOND)):
-                    told.append(f"{engine}: {owner} with {fence} at {before}, {other} with {later} at {at}")
-        return told
+                    found.append(f"{engine}: {owner} with {fence} at {before}, {other} with {later} at {at}")
+        return found
 
-    def sound(self) -> None:
-        """No task of a daemon failed, and orders kept their turns."""
-        assert self.turns() == []
+    def assert_no_failures(self) -> None:
+        """Asserts that no task of a daemon failed, no process crashed and phase orders did not conflict."""
+        assert self.order_conflicts() == []
         failed = [text for _, _, log_event, text in self.world.logged if log_event is LogEvent.TASK_FAILED]
         assert not failed and not self.world.crashes, (failed, self.world.crashes)
 
@@ -255,8 +261,8 @@
 
 
 @contextmanager
-def fleet(*, seed: int, phases: str = "pdpddd", slots: int = 64, extra: int = EXTRA) -> Iterator[Fleet]:
+def fleet(*, seed: int, phases: str = "pdpddd", slots: int = 64, extra: int = RETRY_EXTRA) -> Iterator[Fleet]:
     with World(seed=seed, linkUs=700).open() as world:
         made = Fleet(world=world, extra=extra)
-        made.begin(phases=phases, slots=slots)
+        made.start(phases=phases, slots=slots)
         yield made
--- a/tests/standins/still.py
+++ b/tests/standins/manual_clock_host.py
@@ -1,4 +1,4 @@
-"""A host on which only the test moves the time, for units that need nothing else."""
+"""Host whose clock is advanced by the test only, for units that need nothing else."""
 
 import random
 from datetime import timedelta
@@ -9,8 +9,8 @@
 from dockmux.runtime.time_units import ms
 
 
-class StillHost(Host):
-    """Invariant: `now` is the monotonic time and changes only by `pass_ms`."""
+class ManualClockHost(Host):
+    """Invariant: `now` is the monotonic time; only `advance_ms` changes it."""
 
     def __init__(self, *, seed: int = 1) -> None:
         self.name = "still"
@@ -22,7 +22,7 @@
     def elapsed(self) -> timedelta:
         return self.now
 
-    def pass_ms(self, count: float) -> None:
+    def advance_ms(self, count: float) -> None:
         self.now += ms(count)
 
     def log(self, log_event: LogEvent, **fields: Any) -> None:
--- a/tests/standins/operator.py
+++ b/tests/standins/operator.py
@@ -1,4 +1,4 @@
-"""The operator, who puts configurations and reads them back."""
+"""Operator that writes configurations and reads them back."""
 
 import copy
 import json
@@ -23,7 +23,7 @@
 
 
 def configuration(*, gen: int = 1, routes: list[dict[str, Any]] | None = None) -> dict[str, Any]:
-    """A valid one: a stream that may be resumed, one that may not, and plain requests of either kind."""
+    """A valid configuration: resumable and non-resumable streams, idempotent and mutating requests."""
     rows = routes or [
         route(name="notes", prefix="/notes/", kind="sse", resume=True, prio=0),
         route(name="once", prefix="/once/", kind="sse"),
@@ -43,22 +43,23 @@
     }
 
 
-def packed(*, fields: dict[str, Any]) -> bytes:
-    """With spaces and an order of its own, so that reading back byte for byte says something."""
+def serialize(*, fields: dict[str, Any]) -> bytes:
+    """The configuration as text, with unusual white space, so that reading it back byte for byte is a real check."""
     return json.dumps(fields, indent=1).encode() + b"\n"
 
 
 class Operator:
-    """Invariants: `acknowledged` are the texts that were answered 200, with when; each call goes to the control
-    daemons in turn until one answers below 500."""
+    """Invariants: `acknowledged` are the texts that were answered with 200, with the times; each call goes to the
+    control daemons in turn until one answers with a status below 500."""
 
-    def __init__(self, *, host: SimHost, controls: list[str]) -> None:
+    def __init__(self, *, host: SimHost, addresses: list[str]) -> None:
         self.host = host
-        self.controls = controls
+        self.addresses = addresses
         self.acknowledged: list[tuple[timedelta, bytes]] = []
 
     def put(self, *, text: bytes, base: int | None, control: int = 0, limit: timedelta = timedelta(seconds=8)) -> int:
-        """The status of the clear answer; 0 when none came within the limit."""
+        """The status of the definite answer, 0 if there was none within the limit. `base` is the version that the
+        change builds on, `control` the index of the control daemon to try first."""
         end = self.host.world.now() + limit
         headers = {"Content-Type": "application/json"}
         if base is not None:
@@ -88,7 +89,7 @@
     def call(
         self, *, method: str, path: str, body: bytes | None, headers: dict[str, str], control: int
     ) -> tuple[int, bytes]:
-        address = self.controls[control % len(self.controls)]
+        address = self.addresses[control % len(self.addresses)]
         try:
             with (
                 time_limit(wait=CALL_LIMIT),
--- a/tests/truncated_requests_test.py
+++ b/tests/truncated_requests_test.py
@@ -9,7 +9,7 @@
 from dockmux.runtime.time_units import ms
 from dockmux.simulator.world import SimHost, World
 from tests.standins.fleet import SECOND, Fleet, fleet
-from tests.standins.operator import configuration, packed
+from tests.standins.operator import configuration, serialize
 
 ADDRESS = "10.0.0.1:7000"
 # Chunk sizes are written with leading zeros: one cut off after a zero would be taken for the last chunk.
@@ -23,7 +23,7 @@
 
 def request_bytes(*, made: Fleet, path: str, body: bytes, in_chunks: bool) -> tuple[str, bytes]:
     request = made.request(path=path, body=body, tokens_out=0, tokens_in=100)
-    head, _, _ = request.wire().partition(b"\r\n\r\n")
+    head, _, _ = request.to_bytes().partition(b"\r\n\r\n")
     if in_chunks:
         head = head.replace(f"Content-Length: {len(body)}".encode(), b"Transfer-Encoding: chunked")
         return request.request_id, head + b"\r\n\r\n" + chunked(data=body, trailer=b"X-Sum: 7\r\n")
@@ -69,14 +69,14 @@
             told = send_cut(made=made, address=made.edges[0], data=data[:end], half_closed=half_closed)
             assert not told or told.startswith(b"HTTP/1.1 400 "), (data[:end], told)
         made.sleep(seconds=1)
-        reached = [(end, data) for end, request_id, data in ids if made.record.of(request_id=request_id)]
+        reached = [(end, data) for end, request_id, data in ids if made.record.arrivals_of(request_id=request_id)]
         assert reached == [] and made.record.arrivals == [], (len(reached), reached[:1])
         request_id, data = request_bytes(made=made, path=path, body=body, in_chunks=in_chunks)
         told = send_whole(made=made, address=made.edges[0], data=data)
         (run,) = made.record.runs(request_id=request_id)
         assert run.body == body and told.startswith(b"HTTP/1.1 200 ")
         assert made.daemons["edge-0"].served.busy == 0
-        made.sound()
+        made.assert_no_failures()
 
 
 @pytest.mark.parametrize("in_chunks", (False, True))
@@ -84,7 +84,7 @@
     """Guards against a configuration that no operator sent (CONFIG). The text ends in white space, so that a truncated
     body is a valid configuration as well."""
     with fleet(seed=62, phases="d") as made:
-        text = packed(fields=configuration(gen=2)) + b" " * 60
+        text = serialize(fields=configuration(gen=2)) + b" " * 60
         head = (
             b"POST /dockmux/config/put HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\nX-Base-Version: 1\r\n"
         )
@@ -92,13 +92,18 @@
         data = head + framing + b"\r\n\r\n" + (chunked(data=text) if in_chunks else text)
         for control in range(3):
             for end in range(len(data) - 59, len(data)):
-                send_cut(made=made, address=made.operator.controls[control], data=data[:end], half_closed=end % 2 == 0)
+                send_cut(
+                    made=made,
+                    address=made.operator.addresses[control],
+                    data=data[:end],
+                    half_closed=end % 2 == 0,
+                )
         made.sleep(seconds=1)
         assert b'"gen": 1' in made.operator.get()
-        send_cut(made=made, address=made.operator.controls[0], data=data, half_closed=True)
+        send_cut(made=made, address=made.operator.addresses[0], data=data, half_closed=True)
         made.sleep(seconds=2)
         assert made.operator.get() == text
-        made.sound()
+        made.assert_no_failures()
 
 
 def test_a_truncated_message_between_daemons_is_not_handled():
@@ -141,11 +146,11 @@
     """Guards against request smuggling (UNASKED)."""
     with fleet(seed=64, phases="d") as made:
         request = made.request(path="/write/d", body=b"abcd", tokens_out=0, tokens_in=100)
-        head, _, _ = request.wire().partition(b"\r\nContent-Length")
+        head, _, _ = request.to_bytes().partition(b"\r\nContent-Length")
         data = head + b"\r\n" + "\r\n".join(framing).encode() + b"\r\n\r\nabcd" + b"x" * 5
         told = send_cut(made=made, address=made.edges[0], data=data, half_closed=True)
         assert told.startswith(b"HTTP/1.1 400 ") or told.startswith(b"HTTP/1.0 400 "), told
         assert b"connection: close" in told.lower()
         made.sleep(seconds=1)
         assert made.record.arrivals == []
-        made.sound()
+        made.assert_no_failures()
--- a/tests/verdicts_test.py
+++ b/tests/verdicts_test.py
@@ -2,16 +2,16 @@
 
 from dockmux.platform_proxy.verdicts import KEPT, LONGEST_WAIT, RENEWED, Verdicts
 from dockmux.runtime.log_events import LogEvent
-from tests.standins.still import StillHost
+from tests.standins.manual_clock_host import ManualClockHost
 
 
 def test_a_failure_leaves_an_engine_out_until_it_was_seen_well():
-    host = StillHost()
+    host = ManualClockHost()
     verdicts = Verdicts(host=host)
     assert not verdicts.failing(engine="e") and verdicts.to_look_at() == []
     verdicts.note_failure(engine="e", why="reset")
     assert verdicts.failing(engine="e") and verdicts.to_look_at() == []
-    host.pass_ms(1000)
+    host.advance_ms(1000)
     assert verdicts.failing(engine="e") and verdicts.to_look_at() == ["e"]
     verdicts.note_success(engine="e")
     assert not verdicts.failing(engine="e") and verdicts.to_look_at() == []
@@ -19,7 +19,7 @@
 
 
 def test_looks_come_at_growing_intervals_up_to_a_bound():
-    host = StillHost()
+    host = ManualClockHost()
     verdicts = Verdicts(host=host)
     waits = []
     for _ in range(8):
@@ -31,7 +31,7 @@
 
 def test_any_number_of_failures_in_a_row_is_borne():
     """A whole crowd of requests at one engine fails with it."""
-    verdicts = Verdicts(host=StillHost())
+    verdicts = Verdicts(host=ManualClockHost())
     for _ in range(2000):
         verdicts.note_failure(engine="e", why="reset")
     assert verdicts.failing(engine="e")
@@ -39,7 +39,7 @@
 
 def test_failures_of_one_moment_count_once_for_the_wait():
     """Fifty requests that were at an engine when it broke off say no more than one of them."""
-    host = StillHost()
+    host = ManualClockHost()
     verdicts = Verdicts(host=host)
     for _ in range(10):
         verdicts.note_failure(engine="e", why="reset")
@@ -47,37 +47,37 @@
 
 
 def test_daemons_tell_each_other_and_the_later_sight_counts():
-    one, two = StillHost(seed=1), StillHost(seed=2)
+    one, two = ManualClockHost(seed=1), ManualClockHost(seed=2)
     here, there = Verdicts(host=one), Verdicts(host=two)
     here.note_failure(engine="e", why="reset")
     there.hear(told=here.told())
     assert there.failing(engine="e") and there.to_look_at() == [] and there.told() == {}
-    two.pass_ms(500)
+    two.advance_ms(500)
     old = here.told()
-    one.pass_ms(500)
+    one.advance_ms(500)
     here.note_success(engine="e")
     there.hear(told=here.told())
     assert not there.failing(engine="e")
     # A word that was under way for long does not bring the older sight back.
-    two.pass_ms(50)
-    one.pass_ms(50)
+    two.advance_ms(50)
+    one.advance_ms(50)
     there.hear(told={"e": [old["e"][0], old["e"][1] + 550, 0]})
     assert not there.failing(engine="e")
 
 
 def test_a_sight_of_a_daemon_that_is_gone_lapses():
-    host = StillHost()
+    host = ManualClockHost()
     verdicts = Verdicts(host=host)
     verdicts.hear(told={"e": [0, 10, 500]})
     assert verdicts.failing(engine="e")
     host.now += RENEWED
     assert verdicts.failing(engine="e")
-    host.pass_ms(501)
+    host.advance_ms(501)
     assert not verdicts.failing(engine="e")
 
 
 def test_what_is_told_is_forgotten_in_time_but_not_while_the_engine_fails_here():
-    host = StillHost()
+    host = ManualClockHost()
     verdicts = Verdicts(host=host)
     verdicts.note_failure(engine="e", why="reset")
     verdicts.note_success(engine="e")
--- a/tests/work_test.py
+++ b/tests/work_test.py
@@ -4,11 +4,11 @@
 
 from dockmux.platform_proxy.load_tracker import TOLD_FOR, LoadTracker
 from dockmux.runtime.time_units import ZERO, ms
-from tests.standins.still import StillHost
+from tests.standins.manual_clock_host import ManualClockHost
 
 
 def test_each_daemons_last_word_replaces_the_one_before():
-    host = StillHost()
+    host = ManualClockHost()
     load_tracker = LoadTracker(host=host)
     load_tracker.hear(daemon="a", works={"i-1": [400, 2], "i-2": [100, 1]})
     load_tracker.hear(daemon="b", works={"i-1": [50, 3]})
@@ -20,17 +20,17 @@
 
 
 def test_a_word_fades_and_lapses():
-    host = StillHost()
+    host = ManualClockHost()
     load_tracker = LoadTracker(host=host)
     load_tracker.hear(daemon="a", works={"i-1": [400, 2]})
-    host.pass_ms(200)
+    host.advance_ms(200)
     assert load_tracker.backlog(engine="i-1") == ms(300)
-    host.pass_ms(TOLD_FOR / ms(1))
+    host.advance_ms(TOLD_FOR / ms(1))
     assert (load_tracker.backlog(engine="i-1"), load_tracker.streams(engine="i-1")) == (ZERO, 0)
 
 
 def test_daemons_that_are_gone_are_forgotten():
-    host = StillHost()
+    host = ManualClockHost()
     load_tracker = LoadTracker(host=host)
     for daemon in ("a", "b"):
         load_tracker.hear(daemon=daemon, works={"i-1": [100, 1]})
@@ -41,7 +41,7 @@
 
 
 def test_own_work_counts_as_long_as_it_lasts():
-    load_tracker = LoadTracker(host=StillHost())
+    load_tracker = LoadTracker(host=ManualClockHost())
     with load_tracker.reading(engine="i-1", span=ms(80)), load_tracker.streaming(engine="i-1"):
         assert (load_tracker.backlog(engine="i-1"), load_tracker.streams(engine="i-1")) == (ms(80), 1)
         assert load_tracker.summary() == {"i-1": [80, 1]}
