--- a/tests/admission_test.py
+++ b/tests/admission_test.py
@@ -36,48 +36,52 @@
 
 
 def excess(
-    *, made: Admission, asked: RequestRecord, expected: timedelta = SOON, wait: timedelta = SOON / 2, streams: int = 0
+    *, admission: Admission, request: RequestRecord, expected: timedelta = SOON, wait: timedelta = SOON / 2,
+    streams: int = 0,
 ) -> timedelta:  # fmt: skip
-    paired = pairing(expected=expected, wait=wait)
-    return made.excess(record=asked, pairing=paired, streams=streams, now=NOW)
+    plan = pairing(expected=expected, wait=wait)
+    return admission.excess(record=request, pairing=plan, streams=streams, now=NOW)
 
 
-def learned(*, token_ms: float) -> Admission:
-    made = Admission()
-    made.rates["s"] = DecodeRate(token_ms=token_ms)
-    return made
+def admission_with_rate(*, token_ms: float) -> Admission:
+    admission = Admission()
+    admission.rates["s"] = DecodeRate(token_ms=token_ms)
+    return admission
 
 
 def test_refuses_a_request_whose_first_event_would_be_late():
-    asked, made = record(patience=3 * SECOND), learned(token_ms=0.0)
+    request, admission = record(patience=3 * SECOND), admission_with_rate(token_ms=0.0)
     for expected in (2.9 * SECOND, 3.1 * SECOND):
         # The margin applies to the queue only: a long prompt without a queue is judged by its own time.
-        assert excess(made=made, asked=asked, expected=expected, wait=ZERO) == expected - 3 * SECOND
+        assert excess(admission=admission, request=request, expected=expected, wait=ZERO) == expected - 3 * SECOND
     wait = 3 * SECOND / ESTIMATE_MARGIN
-    assert excess(made=made, asked=asked, expected=wait, wait=wait) == ZERO
-    assert excess(made=made, asked=asked, expected=wait + ms(10), wait=wait + ms(10)) == ms(10) * ESTIMATE_MARGIN
+    assert excess(admission=admission, request=request, expected=wait, wait=wait) == ZERO
+    assert (
+        excess(admission=admission, request=request, expected=wait + ms(10), wait=wait + ms(10))
+        == ms(10) * ESTIMATE_MARGIN
+    )
 
 
 def test_refuses_a_request_whose_stream_would_miss_its_deadline():
     """Guards against an overload in which every stream is started and cut off at its deadline (RECOVER)."""
-    made = learned(token_ms=0.1)
-    assert excess(made=made, asked=record(), streams=10) < ZERO
-    assert excess(made=made, asked=record(), streams=40) > ZERO
-    assert excess(made=made, asked=record(tokens_out=100), streams=40) < ZERO
-    assert excess(made=made, asked=record(tokens_out=0), streams=1000) < ZERO
+    admission = admission_with_rate(token_ms=0.1)
+    assert excess(admission=admission, request=record(), streams=10) < ZERO
+    assert excess(admission=admission, request=record(), streams=40) > ZERO
+    assert excess(admission=admission, request=record(tokens_out=100), streams=40) < ZERO
+    assert excess(admission=admission, request=record(tokens_out=0), streams=1000) < ZERO
 
 
 def test_admits_a_slow_stream_while_few_streams_run():
     """Guards against refusing a stream that needs nearly all its time even alone: that would not help any other."""
-    made = learned(token_ms=0.45)
-    assert excess(made=made, asked=record(), streams=0) < ZERO
-    assert excess(made=made, asked=record(), streams=SLOTS // 3) > ZERO
+    admission = admission_with_rate(token_ms=0.45)
+    assert excess(admission=admission, request=record(), streams=0) < ZERO
+    assert excess(admission=admission, request=record(), streams=SLOTS // 3) > ZERO
 
 
 def test_a_retry_with_less_time_left_needs_a_shorter_queue():
-    made = learned(token_ms=0.1)
-    assert excess(made=made, asked=record(hold=8 * SECOND), streams=18) < ZERO
-    assert excess(made=made, asked=record(hold=2 * SECOND), streams=18) > ZERO
+    admission = admission_with_rate(token_ms=0.1)
+    assert excess(admission=admission, request=record(hold=8 * SECOND), streams=18) < ZERO
+    assert excess(admission=admission, request=record(hold=2 * SECOND), streams=18) > ZERO
 
 
 def test_the_decode_rate_is_learned_from_streams_and_holds_for_other_loads():
@@ -90,9 +94,9 @@
 
 
 def test_a_stream_cut_off_counts_only_if_it_took_longer_than_estimated():
-    made = learned(token_ms=0.1)
-    asked, before = record(), 0.1
-    made.note_stream(record=asked, span=ms(10), streams=4, slots=SLOTS, complete=False)
-    assert made.rate(service="s").token_ms == before
-    made.note_stream(record=asked, span=7 * SECOND, streams=4, slots=SLOTS, complete=False)
-    assert made.rate(service="s").token_ms > before
+    admission = admission_with_rate(token_ms=0.1)
+    request, before = record(), 0.1
+    admission.note_stream(record=request, span=ms(10), streams=4, slots=SLOTS, complete=False)
+    assert admission.rate(service="s").token_ms == before
+    admission.note_stream(record=request, span=7 * SECOND, streams=4, slots=SLOTS, complete=False)
+    assert admission.rate(service="s").token_ms > before
--- a/tests/answer_head_test.py
+++ b/tests/answer_head_test.py
@@ -23,7 +23,7 @@
 
 @contextmanager
 def fleet_of_three_tries() -> Iterator[Fleet]:
-    """Three decode engines, routes with three attempts, and a retry budget that allows them."""
+    """Three decode engines, routes with three tries, and a retry budget that allows them."""
     with fleet(seed=41, phases="ddd", extra=1000) as made:
         fields = configuration(gen=2)
         for row in fields["rtab"]:
--- a/tests/answers_test.py
+++ b/tests/answers_test.py
@@ -13,14 +13,14 @@
 INVALID_ANSWERS = ("another's answer", "encoded", "no seal")
 
 
-def _each(*, made: Fleet, path: str, kind: str, remaining: int, count: int = 6) -> list[Attempt]:
+def _send_with_fault(*, made: Fleet, path: str, kind: str, remaining: int, count: int = 6) -> list[Attempt]:
     """Sends `count` requests to one path, with the fault set before each."""
     attempts = []
     out = 0 if path.startswith(("/check/", "/write/")) else 12
     made.send(path=path, tokens_out=out)
-    for place in range(count):
+    for index in range(count):
         made.faults.kind, made.faults.remaining = kind, remaining
-        attempts.append(made.send(path=path, zone=place % 3, tokens_out=out))
+        attempts.append(made.send(path=path, zone=index % 3, tokens_out=out))
         made.faults.remaining = 0
         # Long enough for engines marked as failing to be health-checked.
         made.sleep(seconds=1.1)
@@ -32,7 +32,7 @@
         attempts = []
         for path in ("/once/b", "/write/d"):
             for kind in BREAKS:
-                attempts += _each(made=made, path=path, kind=kind, remaining=1, count=3)
+                attempts += _send_with_fault(made=made, path=path, kind=kind, remaining=1, count=3)
         assert made.violations(attempts=attempts) == []
         for attempt in attempts:
             assert not attempt.is_correct and not attempt.refused
@@ -43,13 +43,13 @@
 def test_without_the_check_before_a_send_a_request_would_run_twice(monkeypatch):
     completion_before_send = Dispatcher._completion_before_send
 
-    def forgetful(self, *, record, committed):
+    def forget_earlier_runs(self, *, record, committed):
         record.may_have_run = False
         return completion_before_send(self, record=record, committed=committed)
 
-    monkeypatch.setattr(Dispatcher, "_completion_before_send", forgetful)
+    monkeypatch.setattr(Dispatcher, "_completion_before_send", forget_earlier_runs)
     with fleet(seed=11) as made:
-        attempts = _each(made=made, path="/write/d", kind="break off early", remaining=1, count=3)
+        attempts = _send_with_fault(made=made, path="/write/d", kind="break off early", remaining=1, count=3)
         assert any("ran 2 times" in text for text in made.violations(attempts=attempts))
 
 
@@ -57,7 +57,7 @@
     with fleet(seed=12) as made:
         for after in (0, 1, 3, 12):
             made.faults.after_events = after
-            attempts = _each(made=made, path="/notes/a", kind="break off", remaining=1, count=2)
+            attempts = _send_with_fault(made=made, path="/notes/a", kind="break off", remaining=1, count=2)
             assert made.violations(attempts=attempts) == []
             for attempt in attempts:
                 assert attempt.is_correct, (after, attempt.status, attempt.body, attempt.error)
@@ -81,7 +81,7 @@
 
 def test_a_stream_whose_engines_all_break_off_does_not_look_complete():
     with fleet(seed=14) as made:
-        attempts = _each(made=made, path="/notes/a", kind="break off", remaining=9, count=3)
+        attempts = _send_with_fault(made=made, path="/notes/a", kind="break off", remaining=9, count=3)
         assert made.violations(attempts=attempts) == []
         assert not any(attempt.complete for attempt in attempts)
         made.assert_no_failures()
@@ -91,10 +91,10 @@
 def test_no_part_of_an_invalid_answer_reaches_the_client(kind):
     with fleet(seed=15) as made:
         for path in PATHS:
-            attempts = _each(made=made, path=path, kind=kind, remaining=9, count=1)
+            attempts = _send_with_fault(made=made, path=path, kind=kind, remaining=9, count=1)
             assert made.violations(attempts=attempts) == []
             assert not any(attempt.status == 200 or attempt.refused for attempt in attempts)
-            once = _each(made=made, path=path, kind=kind, remaining=1, count=1)
+            once = _send_with_fault(made=made, path=path, kind=kind, remaining=1, count=1)
             assert made.violations(attempts=once) == []
             repeated = path.startswith(("/notes/", "/check/"))
             assert [attempt.is_correct for attempt in once] == [repeated], path
@@ -105,7 +105,7 @@
 def test_without_the_check_of_its_head_an_invalid_answer_would_reach_the_client(kind, monkeypatch):
     monkeypatch.setattr(EngineClient, "_find_defect", lambda self, *, record, answer, prefill: "")
     with fleet(seed=15) as made:
-        attempts = _each(made=made, path="/check/c", kind=kind, remaining=1, count=1)
+        attempts = _send_with_fault(made=made, path="/check/c", kind=kind, remaining=1, count=1)
         assert any("a false answer" in text for text in made.violations(attempts=attempts))
 
 
--- a/tests/client_disconnect_test.py
+++ b/tests/client_disconnect_test.py
@@ -32,10 +32,10 @@
 
 
 def disconnect_many(*, made: Fleet, paths: tuple[str, ...], count: int, after: timedelta) -> list[Departure]:
-    """Starts `count` clients, 20 ms apart, each of which disconnects `after` sending its request."""
+    """Starts `count` clients, 20 ms apart, each of which disconnects `after` it has sent its request."""
     departures = []
-    for place in range(count):
-        path = paths[place % len(paths)]
+    for index in range(count):
+        path = paths[index % len(paths)]
         request = made.request(path=path, tokens_out=0 if path in UNARY_PATHS else 40)
         departure = Departure(request_id=request.request_id)
         departures.append(departure)
--- a/tests/early_hangup_test.py
+++ b/tests/early_hangup_test.py
@@ -23,7 +23,7 @@
 @pytest.mark.parametrize("program", ("edge", "core"))
 def test_a_hangup_during_import_does_not_end_the_daemon_and_is_noted(program):
     """Guards against a daemon that exits because its settings changed while it started (PROCESS in the soak)."""
-    told = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", PROGRAM.format(platform=str(PLATFORM), program=program)], capture_output=True, text=True
     )
-    assert told.returncode == 0 and told.stdout == "alive [1]\n", (told.returncode, told.stdout, told.stderr)
+    assert result.returncode == 0 and result.stdout == "alive [1]\n", (result.returncode, result.stdout, result.stderr)
--- a/tests/graceful_shutdown_test.py
+++ b/tests/graceful_shutdown_test.py
@@ -57,9 +57,9 @@
     """Guards against requests on kept connections that are admitted long after SIGTERM and then abandoned (LOST)."""
     with fleet(seed=51) as made:
         pauses = [0.2, 1.0, 1.9, 2.4, 2.9, 3.0, 3.1, 3.3, 4.0, 4.7, 5.5, 6.3, 6.9, 7.1]
-        for place, pause_s in enumerate([*pauses, *pauses]):
+        for index, pause_s in enumerate([*pauses, *pauses]):
             first, second = (request(made=made, path=path, count=count) for count in (SHORT, FOUR_SECONDS))
-            send_on_one_connection(made=made, requests=[first, second], pause=SECOND * pause_s + ms(place))
+            send_on_one_connection(made=made, requests=[first, second], pause=SECOND * pause_s + ms(index))
         made.sleep(seconds=0.6)
         # These keep the daemon busy.
         for _ in range(3):
@@ -127,7 +127,7 @@
             stop(made=made)
             made.sleep(seconds=2)
             assert not made.outside.readable(sock=idle), (
-                "closed before the platform has attempt that the daemon is not ready"
+                "closed before the platform has noticed that the daemon is not ready"
             )
             made.sleep(seconds=1.5)
             assert made.outside.readable(sock=idle) and idle.recv(10) == b""
--- a/tests/normal_operation_test.py
+++ b/tests/normal_operation_test.py
@@ -92,17 +92,17 @@
 
 def test_of_concurrent_changes_on_one_base_one_wins():
     with fleet(seed=5) as made:
-        told: dict[int, int] = {}
+        statuses: dict[int, int] = {}
 
         def put(*, gen: int) -> None:
             text = serialize(fields=configuration(gen=gen))
-            told[gen] = made.operator.put(text=text, base=1, control=gen % 3)
+            statuses[gen] = made.operator.put(text=text, base=1, control=gen % 3)
 
         for gen in (2, 3, 4):
             made.outside.spawn(task=put, gen=gen)
         made.sleep(seconds=6)
-        assert sorted(told.values()) == [200, 412, 412], told
-        winner = next(gen for gen, status in told.items() if status == 200)
+        assert sorted(statuses.values()) == [200, 412, 412], statuses
+        winner = next(gen for gen, status in statuses.items() if status == 200)
         assert json.loads(made.operator.get())["gen"] == winner
         made.assert_no_failures()
 
@@ -169,11 +169,11 @@
 
 def test_each_kind_of_invalid_configuration_is_refused_and_has_no_effect():
     with fleet(seed=6) as made:
-        told = {
-            kind: made.operator.put(text=text, base=1, control=place, limit=SECOND)
-            for place, (kind, text) in enumerate((INVALID | NOT_INCREASING).items())
+        statuses = {
+            kind: made.operator.put(text=text, base=1, control=index, limit=SECOND)
+            for index, (kind, text) in enumerate((INVALID | NOT_INCREASING).items())
         }
-        assert {kind: status for kind, status in told.items() if not 400 <= status < 500} == {}
+        assert {kind: status for kind, status in statuses.items() if not 400 <= status < 500} == {}
         made.sleep(seconds=2)
         assert made.operator.get() == serialize(fields=configuration(gen=1))
         assert _statuses(made=made, path="/check/x") == [200] * 3
--- a/tests/overload_test.py
+++ b/tests/overload_test.py
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Load:
-    """One kind of request: its rate, its mean prompt and answer lengths in tokens, and its deadline."""
+    """One kind of request: its rate, its mean prompt length and its answer length in tokens, and its deadline."""
 
     path: str
     per_second: float
@@ -39,39 +39,39 @@
 
 def run_load(*, made: Fleet, loads: tuple[Load, ...], seconds: float) -> list[Attempt]:
     """Sends requests at random times for `seconds`; a refused client retries once, after its Retry-After."""
-    source = random.Random(5)
+    rng = random.Random(5)
     end = made.world.now() + SECOND * seconds
-    firsts: list[Attempt] = []
+    attempts: list[Attempt] = []
     for load in loads:
-        made.outside.spawn(task=_send_periodically, made=made, load=load, end=end, source=source, firsts=firsts)
+        made.outside.spawn(task=_send_periodically, made=made, load=load, end=end, rng=rng, attempts=attempts)
     made.sleep(seconds=seconds + 10)
-    return firsts
+    return attempts
 
 
-def _send_periodically(*, made: Fleet, load: Load, end: object, source: random.Random, firsts: list[Attempt]) -> None:
+def _send_periodically(*, made: Fleet, load: Load, end: object, rng: random.Random, attempts: list[Attempt]) -> None:
     while made.world.now() < end:
-        made.sleep(seconds=source.expovariate(load.per_second))
+        made.sleep(seconds=rng.expovariate(load.per_second))
         made.outside.spawn(
-            task=_send_with_retry, made=made, load=load, edge=source.choice(made.edges), source=source, rows=firsts
+            task=_send_with_retry, made=made, load=load, edge=rng.choice(made.edges), rng=rng, attempts=attempts
         )
 
 
-def _send_with_retry(*, made: Fleet, load: Load, edge: str, source: random.Random, rows: list[Attempt]) -> None:
-    tokens = max(int(source.lognormvariate(0, 0.8) * load.tokens_in * 0.73), 50)
+def _send_with_retry(*, made: Fleet, load: Load, edge: str, rng: random.Random, attempts: list[Attempt]) -> None:
+    tokens = max(int(rng.lognormvariate(0, 0.8) * load.tokens_in * 0.73), 50)
     request = made.request(
         path=load.path, tokens_in=tokens, tokens_out=load.tokens_out,
-        prefix_blocks=f"own{source.getrandbits(40):x}:{tokens}", deadline=SECOND * load.deadline_s,
+        prefix_blocks=f"own{rng.getrandbits(40):x}:{tokens}", deadline=SECOND * load.deadline_s,
     )  # fmt: skip
-    rows.append(attempt := Attempt(request=request, edge=edge, sent_at=made.world.now()))
-    place = len(rows) - 1
-    told = made.client.send(edge=edge, request=request)
-    if told.status == 503:
-        made.outside.sleep(wait=SECOND * float(told.headers["retry-after"]))
+    attempts.append(attempt := Attempt(request=request, edge=edge, sent_at=made.world.now()))
+    index = len(attempts) - 1
+    result = made.client.send(edge=edge, request=request)
+    if result.status == 503:
+        made.outside.sleep(wait=SECOND * float(result.headers["retry-after"]))
         again = dataclasses.replace(request, request_id=f"{request.request_id}b")
         left = request.deadline - (made.world.now() - attempt.sent_at)
         if left > ms(100):
-            told = made.client.send(edge=source.choice(made.edges), request=dataclasses.replace(again, deadline=left))
-    rows[place] = told
+            result = made.client.send(edge=rng.choice(made.edges), request=dataclasses.replace(again, deadline=left))
+    attempts[index] = result
 
 
 def served_share(*, attempts: list[Attempt]) -> float:
--- a/tests/sends_test.py
+++ b/tests/sends_test.py
@@ -22,7 +22,7 @@
 PATHS = ("/notes/a", "/once/b", "/check/c", "/write/d")
 REPEATABLE = ("/notes/", "/check/")
 TRIES = 2
-# Faults after which a repeatable request has no time remaining to be answered by another engine.
+# Faults after which a repeatable request has no time left to be answered by another engine.
 DEADLINE_FAULTS = ("silence", "late", "unannounced, then silent", "closing, then silent")
 # Faults after which the client has the beginning of an answer that cannot be resumed.
 PARTIAL_ANSWER_FAULTS = ("cut chunk",)
--- a/tests/truncated_requests_test.py
+++ b/tests/truncated_requests_test.py
@@ -66,15 +66,15 @@
                 # The heads differ by a few bytes in length: this request would be complete.
                 continue
             ids.append((end, request_id, data[:end]))
-            told = send_cut(made=made, address=made.edges[0], data=data[:end], half_closed=half_closed)
-            assert not told or told.startswith(b"HTTP/1.1 400 "), (data[:end], told)
+            reply = send_cut(made=made, address=made.edges[0], data=data[:end], half_closed=half_closed)
+            assert not reply or reply.startswith(b"HTTP/1.1 400 "), (data[:end], reply)
         made.sleep(seconds=1)
         reached = [(end, data) for end, request_id, data in ids if made.record.arrivals_of(request_id=request_id)]
         assert reached == [] and made.record.arrivals == [], (len(reached), reached[:1])
         request_id, data = request_bytes(made=made, path=path, body=body, in_chunks=in_chunks)
-        told = send_whole(made=made, address=made.edges[0], data=data)
+        reply = send_whole(made=made, address=made.edges[0], data=data)
         (run,) = made.record.runs(request_id=request_id)
-        assert run.body == body and told.startswith(b"HTTP/1.1 200 ")
+        assert run.body == body and reply.startswith(b"HTTP/1.1 200 ")
         assert made.daemons["edge-0"].served.busy == 0
         made.assert_no_failures()
 
@@ -108,10 +108,10 @@
 
 def test_a_truncated_message_between_daemons_is_not_handled():
     """Guards against handling a message whose meaning differs from the one sent."""
-    asked = []
+    handled = []
 
     def answer(*, request: DirectoryAsk) -> DirectoryReply:
-        asked.append(request)
+        handled.append(request)
         return DirectoryReply(digest="", origin="", age_ms=0, engines=[])
 
     with World(seed=63, linkUs=500).open() as world:
@@ -123,12 +123,12 @@
             hosts[0].spawn(task=desk.run)
             data = pack(data=codec.encode(message=DirectoryAsk(digest="a" * 16)))
             for end in range(1, len(data) + 1):
-                assert asked == []
+                assert handled == []
                 with hosts[1].connect(address=ADDRESS, wait=SECOND) as stream:
                     stream.sendall(data[:end])
                     stream.shutdown(1)
                     hosts[1].sleep(wait=ms(20))
-            assert len(asked) == 1
+            assert len(handled) == 1
 
 
 @pytest.mark.parametrize(
@@ -148,9 +148,9 @@
         request = made.request(path="/write/d", body=b"abcd", tokens_out=0, tokens_in=100)
         head, _, _ = request.to_bytes().partition(b"\r\nContent-Length")
         data = head + b"\r\n" + "\r\n".join(framing).encode() + b"\r\n\r\nabcd" + b"x" * 5
-        told = send_cut(made=made, address=made.edges[0], data=data, half_closed=True)
-        assert told.startswith(b"HTTP/1.1 400 ") or told.startswith(b"HTTP/1.0 400 "), told
-        assert b"connection: close" in told.lower()
+        reply = send_cut(made=made, address=made.edges[0], data=data, half_closed=True)
+        assert reply.startswith(b"HTTP/1.1 400 ") or reply.startswith(b"HTTP/1.0 400 "), reply
+        assert b"connection: close" in reply.lower()
         made.sleep(seconds=1)
         assert made.record.arrivals == []
         made.assert_no_failures()
