--- a/tests/budget_test.py
+++ b/tests/budget_test.py
@@ -8,7 +8,7 @@
 from dockmux.platform_proxy.budget import LOCAL_SHARE, Budget
 from dockmux.platform_proxy.deployment import Deployment
 from dockmux.runtime.time_units import ZERO, ms
-from tests.standins.fleet import RATIO, SECOND, Fleet, fleet
+from tests.standins.fleet import RETRY_RATIO, SECOND, Fleet, fleet
 
 WINDOW = timedelta(seconds=10)
 BOUND = ms(20)
@@ -165,7 +165,7 @@
         requests = max(
             sum(end - WINDOW - back < at <= end - back for at in asked) for back in (ZERO, WINDOW / 2, WINDOW)
         )
-        if count > RATIO * requests + extra:
+        if count > RETRY_RATIO * requests + extra:
             found.append(f"{count} extra arrivals for {requests} requests in the ten seconds to {end}")
     return found
 
@@ -177,25 +177,25 @@
     for rows in made.record.by_id.values():
         free_read, free_run = True, True
         for row in rows:
-            if row.reading and not row.turned_away and free_read:
+            if row.is_prefill and not row.rejected and free_read:
                 free_read = False
             elif free_run:
                 free_run = False
             else:
                 extras.append(row.at)
-    return _violations(extras=sorted(extras), asked=[seen.sent_at for seen in made.client.tries])
+    return _violations(extras=sorted(extras), asked=[seen.sent_at for seen in made.client.attempts])
 
 
 def _set_lapsing(*, made: Fleet, lapsing: bool) -> None:
     for engine in made.engines.values():
-        if hasattr(engine, "lapsing"):
-            engine.lapsing = lapsing
+        if hasattr(engine, "expire_handles"):
+            engine.expire_handles = lapsing
 
 
 def _set_turning(*, made: Fleet, phase: str, turning: bool) -> None:
     for engine in made.engines.values():
         if getattr(engine, "phase", "") == phase:
-            engine.turning = turning
+            engine.rejecting = turning
 
 
 PATHS = ("/notes/a", "/check/c", "/once/b")
@@ -203,41 +203,41 @@
 
 def test_the_budget_holds_when_all_kv_handles_expire_at_once_under_load():
     with fleet(seed=41, extra=EXTRA) as made:
-        made.load(paths=PATHS, per_second=12, seconds=2)
+        made.send_load(paths=PATHS, per_second=12, seconds=2)
         _set_lapsing(made=made, lapsing=True)
-        tries = made.load(paths=PATHS, per_second=16, seconds=11)
+        tries = made.send_load(paths=PATHS, per_second=16, seconds=11)
         _set_lapsing(made=made, lapsing=False)
-        after = made.load(paths=PATHS, per_second=12, seconds=2)
+        after = made.send_load(paths=PATHS, per_second=12, seconds=2)
         assert _breaches(made=made) == []
-        assert made.wrong(tries=tries + after) == []
-        assert [seen for seen in after if not seen.right] == []
-        made.sound()
+        assert made.violations(attempts=tries + after) == []
+        assert [seen for seen in after if not seen.is_correct] == []
+        made.assert_no_failures()
 
 
 def test_without_the_budget_expiring_handles_would_exceed_it(monkeypatch):
     monkeypatch.setattr(Budget, "take", lambda self, **_: True)
     with fleet(seed=41, extra=EXTRA) as made:
         _set_lapsing(made=made, lapsing=True)
-        made.load(paths=PATHS, per_second=20, seconds=3)
+        made.send_load(paths=PATHS, per_second=20, seconds=3)
         assert _breaches(made=made)
 
 
 def test_the_budget_holds_when_prefill_engines_reject_everything():
     with fleet(seed=42, extra=EXTRA) as made:
         _set_turning(made=made, phase="prefill", turning=True)
-        tries = made.load(paths=PATHS, per_second=20, seconds=3)
-        assert made.wrong(tries=tries) == []
-        made.sound()
+        tries = made.send_load(paths=PATHS, per_second=20, seconds=3)
+        assert made.violations(attempts=tries) == []
+        made.assert_no_failures()
         assert _breaches(made=made)[:1] == []
 
 
 def test_the_budget_holds_when_decode_engines_reject_everything():
     with fleet(seed=43, extra=EXTRA) as made:
         _set_turning(made=made, phase="decode", turning=True)
-        tries = made.load(paths=PATHS, per_second=20, seconds=3)
-        assert made.wrong(tries=tries) == []
+        tries = made.send_load(paths=PATHS, per_second=20, seconds=3)
+        assert made.violations(attempts=tries) == []
         assert all(seen.refused for seen in tries)
-        made.sound()
+        made.assert_no_failures()
         assert _breaches(made=made)[:1] == []
 
 
@@ -246,7 +246,7 @@
     """Sends of the previous processes are within the same ten seconds, and new processes know no peers at first."""
     with fleet(seed=44, extra=EXTRA) as made:
         _set_lapsing(made=made, lapsing=True)
-        tries = made.load(paths=PATHS, per_second=20, seconds=3)
+        tries = made.send_load(paths=PATHS, per_second=20, seconds=3)
         for _ in range(2):
             for zone in killed:
                 made.kill(name=f"edge-{zone}")
@@ -254,7 +254,7 @@
             for zone in killed:
                 made.start_daemon(name=f"edge-{zone}")
             assert made.wait_until(what=made.ready, limit=5 * SECOND)
-            tries += made.load(paths=PATHS, per_second=20, seconds=2)
-        assert made.wrong(tries=tries) == []
-        made.sound()
+            tries += made.send_load(paths=PATHS, per_second=20, seconds=2)
+        assert made.violations(attempts=tries) == []
+        made.assert_no_failures()
         assert _breaches(made=made)[:1] == []
--- a/tests/directory_copies_test.py
+++ b/tests/directory_copies_test.py
@@ -9,7 +9,7 @@
 from dockmux.platform_proxy.directory import Directory, digest_of
 from dockmux.platform_proxy.protocol_adapter import EngineEntry
 from dockmux.runtime.time_units import ms
-from tests.standins.still import StillHost
+from tests.standins.manual_clock_host import ManualClockHost
 
 
 def _row(*, name: str, leaving: bool = False) -> EngineEntry:
@@ -23,7 +23,7 @@
 
 
 def _directory() -> Directory:
-    return Directory(host=StillHost(), deployment=Deployment(drain=timedelta(seconds=3)), protocol=None)
+    return Directory(host=ManualClockHost(), deployment=Deployment(drain=timedelta(seconds=3)), protocol=None)
 
 
 def _merge_peer(
@@ -38,7 +38,7 @@
     directory.replace(rows=_rows("1"), requested_at=directory.host.elapsed(), origin="a:0")
     first_due = {}
     for _ in range(300):
-        directory.host.pass_ms(10)
+        directory.host.advance_ms(10)
         for rank in range(9):
             if directory.due(rank=rank):
                 first_due.setdefault(rank, directory.age)
@@ -53,7 +53,7 @@
     assert directory.due(rank=8)
     directory.backoff_until = directory.host.elapsed() + ms(300)
     assert not directory.due(rank=0)
-    directory.host.pass_ms(300)
+    directory.host.advance_ms(300)
     assert directory.due(rank=0)
 
 
@@ -72,7 +72,7 @@
 def test_a_copy_with_the_same_digest_is_as_fresh_as_its_fetch():
     directory = _directory()
     directory.replace(rows=_rows("1"), requested_at=directory.host.elapsed(), origin="a:5")
-    directory.host.pass_ms(900)
+    directory.host.advance_ms(900)
     assert not _merge_peer(directory=directory, digest=directory.digest, age_ms=100, delta=None)
     assert directory.age == ms(100)
     assert not _merge_peer(directory=directory, digest=directory.digest, age_ms=400, delta=None)
@@ -82,7 +82,7 @@
 def test_a_repeated_report_of_the_same_fetch_is_not_newer():
     directory = _directory()
     directory.replace(rows=_rows("1"), requested_at=directory.host.elapsed(), origin="b:7")
-    directory.host.pass_ms(900)
+    directory.host.advance_ms(900)
     assert not _merge_peer(directory=directory, digest=directory.digest, age_ms=880, delta=None, origin="b:7")
     assert directory.age == ms(900)
     assert not _merge_peer(directory=directory, digest=directory.digest, age_ms=880, delta=None, origin="c:1")
@@ -93,7 +93,7 @@
     local, remote = _directory(), _directory()
     for directory in (local, remote):
         directory.replace(rows=_rows("1", "2"), requested_at=directory.host.elapsed(), origin="a:6")
-        directory.host.pass_ms(1000)
+        directory.host.advance_ms(1000)
     remote.replace(rows=_rows("2", "3", leaving="2"), requested_at=remote.host.elapsed(), origin="a:7")
     assert remote.delta["from"] == local.digest and remote.delta["gone"] == ["1"]
     # Without a delta, or with a delta from another copy, the whole list must be fetched.
--- a/tests/phase_orders_test.py
+++ b/tests/phase_orders_test.py
@@ -10,7 +10,7 @@
     for engine in made.engines.values():
         if hasattr(engine, "tokens_per_ms"):
             engine.tokens_per_ms = 20
-    return made.load(paths=PATHS, per_second=8, seconds=seconds, tokens_in=14_000, parts="", zones=zones)
+    return made.send_load(paths=PATHS, per_second=8, seconds=seconds, tokens_in=14_000, prefix_blocks="", zones=zones)
 
 
 def test_overloaded_prefill_gets_one_more_engine_without_errors():
@@ -18,9 +18,9 @@
         made.sleep(seconds=4)
         tries = _overload(made=made, seconds=6)
         accepted = [fields for _, _, fields in made.record.orders if fields["phase"] == "prefill"]
-        assert accepted and made.wrong(tries=tries) == []
-        assert [seen for seen in tries if not seen.right and not seen.refused] == []
-        made.sound()
+        assert accepted and made.violations(attempts=tries) == []
+        assert [seen for seen in tries if not seen.is_correct and not seen.refused] == []
+        made.assert_no_failures()
 
 
 def test_orders_of_a_killed_head_and_its_successor_do_not_conflict():
@@ -33,12 +33,12 @@
         tries += _overload(made=made, seconds=10)
         assert before and len(made.record.orders) > before
         assert len({fields["owner"] for _, _, fields in made.record.orders}) == 2
-        assert made.wrong(tries=tries) == []
-        made.sound()
+        assert made.violations(attempts=tries) == []
+        made.assert_no_failures()
 
 
 def test_no_orders_are_sent_under_light_load():
     with fleet(seed=53) as made:
-        made.load(paths=PATHS, per_second=3, seconds=8, tokens_in=1000)
+        made.send_load(paths=PATHS, per_second=3, seconds=8, tokens_in=1000)
         assert made.record.orders == []
         assert made.world.now() > 8 * SECOND
--- a/tests/retry_pause_test.py
+++ b/tests/retry_pause_test.py
@@ -1,29 +1,30 @@
-"""Engines that all refuse connections: a request tries them again, and not without a pause."""
+"""Retries with backoff while all engines refuse connections."""
 
 import pytest
 
-from dockmux.platform_proxy.connections import Connections
+from dockmux.platform_proxy.connection_pool import ConnectionPool
 from dockmux.platform_proxy.dispatcher import Dispatcher
-from tests.standins.client import Seen
+from tests.standins.client import Attempt
 from tests.standins.fleet import fleet
 
-TRIES_MOST = 60
+MAX_CONNECT_ATTEMPTS = 60
 
 
-def _send_while_no_engine_listens(*, monkeypatch: pytest.MonkeyPatch, back_after: float | None) -> tuple[Seen, int]:
-    """One request while every engine's process is gone; the engines come back after so many seconds, if at all. Its
-    answer, and how often a connection was tried."""
-    tried = []
-    fresh = Connections._fresh
+def _send_while_no_engine_runs(*, monkeypatch: pytest.MonkeyPatch, back_after: float | None) -> tuple[Attempt, int]:
+    """Sends one request while no engine runs; the engines start again after `back_after` seconds, if at all.
 
-    def counted(self: Connections, *, engine: str, address: str) -> object:
-        tried.append(engine)
-        return fresh(self, engine=engine, address=address)
+    Returns the request's answer and the number of connection attempts."""
+    connect_attempts = []
+    connect = ConnectionPool._connect
+
+    def counted(self: ConnectionPool, *, engine: str, address: str) -> object:
+        connect_attempts.append(engine)
+        return connect(self, engine=engine, address=address)
 
     with fleet(seed=17, phases="dd") as made:
         for engine in ("i-d0", "i-d1"):
             made.kill(name=engine)
-        monkeypatch.setattr(Connections, "_fresh", counted)
+        monkeypatch.setattr(ConnectionPool, "_connect", counted)
         request = made.request(path="/notes/a", tokens_in=100)
         made.client.start(edge=made.edges[0], request=request)
         if back_after is not None:
@@ -31,24 +32,24 @@
             for place, engine in enumerate(("i-d0", "i-d1")):
                 made.start_engine(engine=engine, phase="decode", zone=place, place=place + 1)
         made.sleep(seconds=9)
-        seen = made.client.tries[-1]
-        assert made.wrong(tries=[seen]) == []
-        made.sound()
-        return seen, len(tried)
+        attempt = made.client.attempts[-1]
+        assert made.violations(attempts=[attempt]) == []
+        made.assert_no_failures()
+        return attempt, len(connect_attempts)
 
 
-def test_a_request_that_reaches_no_engine_pauses_between_its_tries(monkeypatch: pytest.MonkeyPatch):
-    seen, tried = _send_while_no_engine_listens(monkeypatch=monkeypatch, back_after=None)
-    assert seen.refused
-    assert 4 < tried < TRIES_MOST
+def test_a_request_that_reaches_no_engine_backs_off_between_attempts(monkeypatch: pytest.MonkeyPatch):
+    attempt, connect_attempts = _send_while_no_engine_runs(monkeypatch=monkeypatch, back_after=None)
+    assert attempt.refused
+    assert 4 < connect_attempts < MAX_CONNECT_ATTEMPTS
 
 
-def test_without_the_pause_it_would_try_without_end(monkeypatch: pytest.MonkeyPatch):
+def test_without_the_pause_connection_attempts_would_be_unbounded(monkeypatch: pytest.MonkeyPatch):
     monkeypatch.setattr(Dispatcher, "_pause_before_retry", lambda self, *, record: None)
-    _, tried = _send_while_no_engine_listens(monkeypatch=monkeypatch, back_after=None)
-    assert tried > 100 * TRIES_MOST
+    _, connect_attempts = _send_while_no_engine_runs(monkeypatch=monkeypatch, back_after=None)
+    assert connect_attempts > 100 * MAX_CONNECT_ATTEMPTS
 
 
-def test_it_is_served_once_an_engine_is_back(monkeypatch: pytest.MonkeyPatch):
-    seen, _ = _send_while_no_engine_listens(monkeypatch=monkeypatch, back_after=0.5)
-    assert seen.right
+def test_the_request_is_served_once_an_engine_is_back(monkeypatch: pytest.MonkeyPatch):
+    attempt, _ = _send_while_no_engine_runs(monkeypatch=monkeypatch, back_after=0.5)
+    assert attempt.is_correct
