--- a/dockmux/control/__init__.py
+++ b/dockmux/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane: an agreed view, a chain, permits, sessions, snapshots."""
+"""The control plane: view agreement, chain replication, leases, sessions, snapshots."""
--- a/dockmux/control/core.py
+++ b/dockmux/control/core.py
@@ -1,4 +1,4 @@
-"""One core machine's daemon: the agreement, the chain, the duties that go with the head, and HTTP."""
+"""The control daemon of a core machine: view agreement, chain replica, the head's tasks, and the HTTP interface."""
 
 import contextlib
 import dataclasses
@@ -41,14 +41,17 @@
 from dockmux.runtime.task_group import TaskGroup
 from dockmux.runtime.time_units import instant_us, ms, to_ms
 
-JOIN_PATIENCE = timedelta(seconds=3)
-HOLD_LIMIT = timedelta(seconds=1)
-DIGEST_KEPT = timedelta(milliseconds=100)
+TIME_SOURCE_WAIT = timedelta(seconds=3)
+MAX_NEWS_HOLD = timedelta(seconds=1)
+DIGEST_CACHE_TTL = timedelta(milliseconds=100)
 
 
 class Core:
-    """Invariants: this daemon is the source of time exactly while it is the head under permit; `digest` names the
-    members as they stood at `digest_at`."""
+    """A control daemon.
+
+    Invariants: this daemon is the fleet's time source exactly while it is the head and holds its lease; `digest` is the
+    digest of the member list as of `digest_at`.
+    """
 
     def __init__(self, *, host: Host, settings: Settings) -> None:
         self.host = host
@@ -59,17 +62,19 @@
             http=settings.http, incarnation=incarnation, ageMs=0,
         )  # fmt: skip
         self.peers = Peers(host=host, settings=settings, card=card)
-        self.digest, self.digest_at = "", -DIGEST_KEPT
-        # Further tasks of this daemon, which look at the permit themselves.
-        self.duties: list[Callable[[], None]] = []
-        # What operators speak, where it is not this product's own interface.
+        self.digest, self.digest_at = "", -DIGEST_CACHE_TTL
+        # Additional tasks of this daemon; each checks the lease itself.
+        self.extra_tasks: list[Callable[[], None]] = []
+        # Handles operators' requests; replaced where operators use an interface other than this product's own.
         self.operator_api: Callable[[HttpExchange], Iterable[bytes]] = self.handle_http
 
     @contextlib.contextmanager
     def running(self) -> Iterator["Core"]:
         host, settings = self.host, self.settings
-        keep = timedelta(hours=settings.claimKeepHours)
-        self.store = ReplicaStore(host=host, folder=host.folder, keep=keep, may_found=settings.may_found)
+        claim_retention = timedelta(hours=settings.claimKeepHours)
+        self.store = ReplicaStore(
+            host=host, folder=host.folder, claim_retention=claim_retention, may_found=settings.may_found
+        )
         self.store.open()
         self.peers.card = dataclasses.replace(self.peers.card, disk=self.store.disk)
         with (
@@ -121,28 +126,30 @@
                 },
             )
             for task in (
-                rpc_server.run, self.gossip.run_receiving, self.gossip.run_asking, agreement.run_grants,
-                agreement.run_mending, chain.run_head, chain.run_confirming, joining.run, chain.run_upkeep,
-                self.spread.run, self.run_duties, scheduler.run,
+                rpc_server.run, self.gossip.run_receiving, self.gossip.run_asking, agreement.run_lease_renewal,
+                agreement.run_repair, chain.run_head, chain.run_confirmation, joining.run, chain.run_maintenance,
+                self.spread.run, self.run_time_source, scheduler.run,
             ):  # fmt: skip
                 task_group.supervise(task=task)
-            for duty in self.duties:
-                task_group.supervise(task=duty)
-            task_group.start(task=agreement.run_found)
+            for extra_task in self.extra_tasks:
+                task_group.supervise(task=extra_task)
+            task_group.start(task=agreement.run_founding)
             task_group.supervise(task=serve, host=host, listener=web_listener, handler=self.operator_api)
             host.log(LogEvent.STARTED, role="core", name=settings.name, address=settings.address)
             yield self
 
     def drain(self) -> int:
-        """Has this member leave the chain by agreement; counts what its stop still has to wait for."""
+        """Starts leaving the chain. Returns how many things the stop still has to wait for, 0 when it may stop."""
         if not self.agreement.leaving:
             self.agreement.leaving = True
-            self.host.log(LogEvent.LEAVING, mark=self.chain.synced)
-        return self.agreement.must_stay() + self.chain.open_writes
+            self.host.log(LogEvent.LEAVING, mark=self.chain.synced_index)
+        return self.agreement.must_delay_stop() + self.chain.open_writes
 
-    # Duties that go with the head, under its permit.
+    # Tasks of the head, under its lease.
 
-    def run_duties(self) -> None:
+    def run_time_source(self) -> None:
+        """Makes this daemon the time source while it is the head, and ends that when it no longer is. A daemon whose
+        clock is not synchronized first waits up to `TIME_SOURCE_WAIT` for the time of another."""
         waiting_since: timedelta | None = None
         while True:
             self.host.sleep(wait=ms(100))
@@ -158,28 +165,30 @@
                 continue
             waiting_since = self.host.elapsed() if waiting_since is None else waiting_since
             waited = self.host.elapsed() - waiting_since
-            if not clock.synchronized and waited < JOIN_PATIENCE and not self.gossip.nobody_has_the_time():
-                continue  # Somebody may still have it: two times under one mark would lie apart.
-            clock.lead(mark=mark, not_before=self.chain.planned.latest_time())
+            if not clock.synchronized and waited < TIME_SOURCE_WAIT and not self.gossip.nobody_has_the_time():
+                continue  # Another daemon may still have the time; two sources under one mark would disagree.
+            clock.lead(mark=mark, not_before=self.chain.tentative.latest_time())
             self.host.log(LogEvent.SOURCE_TAKEN, mark=mark)
 
-    # News for data daemons.
+    # Updates for data daemons.
 
     def _members(self) -> list[PeerCard]:
         cores = [card for card in self.peers.live() if card.role == "core"]
-        return [*self.chain.sessions.standing(), *cores, self.peers.me()]
+        return [*self.chain.sessions.active(), *cores, self.peers.me()]
 
     def _members_digest(self) -> str:
-        """Worked out anew once in a while, for as many ask as there are members."""
+        """Cached for `DIGEST_CACHE_TTL`, because every member asks for it."""
         now = self.host.elapsed()
-        if now - self.digest_at >= DIGEST_KEPT:
+        if now - self.digest_at >= DIGEST_CACHE_TTL:
             self.digest, self.digest_at = members_digest(cards=self._members()), now
         return self.digest
 
     def on_news(self, *, request: NewsAsk) -> NewsReply:
-        self.chain.sessions.note(card=request.sender)
+        """Renews the session of a data daemon and answers with the changes after its mark; holds the request for up to
+        `MAX_NEWS_HOLD` while there are none (long poll)."""
+        self.chain.sessions.renew(card=request.sender)
         if self.chain.state.news_mark <= request.mark:
-            self.chain.news.wait(wait=min(ms(request.holdMs), HOLD_LIMIT))
+            self.chain.news_changed.wait(wait=min(ms(request.holdMs), MAX_NEWS_HOLD))
         return self._news(request=request)
 
     def _news(self, *, request: NewsAsk) -> NewsReply:
@@ -189,11 +198,11 @@
         if digest != request.members:
             members = self._members()
             digest = members_digest(cards=members)
-        age = self.chain.age()
+        age = self.chain.staleness()
         config = state.config
-        held = self.host.elapsed() - self.chain.learned[config.mark] if config else ms(0)
+        held = self.host.elapsed() - self.chain.config_known_since[config.mark] if config else ms(0)
         return NewsReply(
-            granted=age < self.agreement.lease,
+            granted=age < self.agreement.lease_duration,
             mark=state.news_mark,
             ageMs=min(to_ms(age), 86_400_000),
             heldMs=held // ms(1),
@@ -229,8 +238,8 @@
             return exchange.reply(status=200, fields=self.gossip.report())
         if path == "/status":
             return exchange.reply(status=200, fields=self.status())
-        if not self.chain.confirm():
-            why = {"why": "the tail did not confirm under its permit"}
+        if not self.chain.confirm_read():
+            why = {"why": "the tail did not confirm under its lease"}
             return exchange.conclude(outcome=Outcome(kind=OutcomeKind.NO_MAJORITY, detail=why))
         return self._read(exchange=exchange)
 
@@ -319,20 +328,20 @@
     def status(self) -> dict[str, Any]:
         agreement, chain = self.agreement, self.chain
         view = agreement.view
-        names = {card.disk: card.name for card in agreement.cores()} | {agreement.me: self.settings.name}
+        names = {card.disk: card.name for card in agreement.core_cards()} | {agreement.own_disk: self.settings.name}
         config = chain.state.config
         return {
             "name": self.settings.name,
-            "disk": agreement.me,
+            "disk": agreement.own_disk,
             "view": view.number if view else None,
             "chain": [names.get(disk, disk) for disk in view.chain] if view else [],
             "voters": [names.get(disk, disk) for disk in view.voters] if view else [],
             "permit": agreement.holds_lease(),
-            "ailing": agreement.ailing,
+            "ailing": agreement.disk_failed,
             "leaving": agreement.leaving,
             "mark": chain.state.mark,
-            "synced": chain.synced,
-            "ageMs": min(to_ms(chain.age()), 86_400_000),
+            "synced": chain.synced_index,
+            "ageMs": min(to_ms(chain.staleness()), 86_400_000),
             "config": config.mark if config else 0,
             "versions": len(chain.state.versions),
             "config_active": bool(config and config.activate <= self.gossip.clock.now()),
@@ -346,7 +355,7 @@
                     "http": card.http,
                     "ageMs": card.ageMs,
                 }
-                for card in chain.sessions.standing()
+                for card in chain.sessions.active()
             ],
             "tasks_failed": self.task_group.failed,
             "timeUs": instant_us(self.gossip.clock.now()),
--- a/dockmux/control/engine_scheduler.py
+++ b/dockmux/control/engine_scheduler.py
@@ -1,4 +1,4 @@
-"""Orders engines between prefill and decode; one daemon at a time, under the head's permit."""
+"""Moves engines between the prefill and the decode phase. Only the head commands engines, under its lease."""
 
 import dataclasses
 import json
@@ -15,64 +15,74 @@
 from dockmux.runtime.outcomes import OutcomeKind
 from dockmux.runtime.time_units import ZERO, to_us
 
-TICK = timedelta(milliseconds=500)
-# How long after the former permit's end nobody commands an engine (rule 11).
-HUSH = timedelta(seconds=3)
-# A service is left alone for so long after one of its engines was moved.
-SETTLE = timedelta(seconds=8)
-ORDER_LIMIT = timedelta(milliseconds=600)
-PRESSED = 1.0
-IDLE = 0.8
-# How much of a new look at an engine's work goes into the smoothed one.
-NEW_PART = 0.2
+SCHEDULING_INTERVAL = timedelta(milliseconds=500)
+# How long after the previous lease's end no engine is commanded (rule 11).
+LEASE_GRACE = timedelta(seconds=3)
+# Minimum time between two moves within a service.
+SERVICE_COOLDOWN = timedelta(seconds=8)
+ORDER_TIMEOUT = timedelta(milliseconds=600)
+# Requests per slot of a phase: above the first it needs another engine; below the second, counted without the engine
+# that would leave, it can give one away.
+OVERLOAD_RATIO = 1.0
+SPARE_RATIO = 0.8
+# Weight of a new sample in the exponentially smoothed load.
+SMOOTHING_FACTOR = 0.2
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Move:
-    """An engine to be ordered into another phase."""
+class PhaseMove:
+    """An engine to be moved into another phase."""
 
     engine: dict[str, Any]
     phase: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Work:
-    """What is known of an engine that could be moved: its phase, its slots, its smoothed work."""
+class EngineLoad:
+    """The load of an engine that could be moved: its phase, its slots, and `busy`, its smoothed count of running and
+    queued requests."""
 
     phase: str
     slots: int
     busy: float
 
 
-def choose(*, engines: list[dict[str, Any]], works: dict[str, Work]) -> Move | None:
-    """The one move, if any, that one service's engines call for: to a phase that has more work than slots, or no
-    engine, from one that would have slots to spare with one engine less."""
+def choose_move(*, engines: list[dict[str, Any]], loads: dict[str, EngineLoad]) -> PhaseMove | None:
+    """The move, if any, that the load of one service's engines calls for: to a phase that has more requests than slots,
+    or no engine, from a phase that would still have spare slots with one engine less."""
     by_phase: dict[str, list[dict[str, Any]]] = {"prefill": [], "decode": []}
     for engine in engines:
-        work = works.get(engine["engine"])
+        work = loads.get(engine["engine"])
         if work is not None and work.phase in by_phase:
             by_phase[work.phase].append(engine)
     for phase, other in (("prefill", "decode"), ("decode", "prefill")):
-        givers = [(works[engine["engine"]], engine) for engine in by_phase[other]]
-        if len(givers) < 2:
+        donors = [(loads[engine["engine"]], engine) for engine in by_phase[other]]
+        if len(donors) < 2:
             continue
-        slots = sum(works[engine["engine"]].slots for engine in by_phase[phase])
-        busy = sum(works[engine["engine"]].busy for engine in by_phase[phase])
-        if slots and busy / slots <= PRESSED:
+        slots = sum(loads[engine["engine"]].slots for engine in by_phase[phase])
+        busy = sum(loads[engine["engine"]].busy for engine in by_phase[phase])
+        if slots and busy / slots <= OVERLOAD_RATIO:
             continue
-        least = min(givers, key=lambda giver: (giver[0].busy, giver[1]["engine"]))
-        left = sum(work.slots for work, _ in givers) - least[0].slots
-        if sum(work.busy for work, _ in givers) / max(left, 1) >= IDLE:
+        least = min(donors, key=lambda donor: (donor[0].busy, donor[1]["engine"]))
+        left = sum(work.slots for work, _ in donors) - least[0].slots
+        if sum(work.busy for work, _ in donors) / max(left, 1) >= SPARE_RATIO:
             continue
-        return Move(engine=least[1], phase=phase)
+        return PhaseMove(engine=least[1], phase=phase)
     return None
 
 
 class EngineScheduler:
-    """Moves engines. Invariants: an order leaves only while the head's permit holds, and after the hush; it carries
-    the permit's mark and, on the engine's own clock, the permit's end. Before it, the chain has held the move for a
-    permission's length, so that no daemon sends that engine work of its old phase; the move is taken back only when
-    every look that saw the old phase is too old to be used."""
+    """Decides on phase moves and carries them out, one at a time.
+
+    Invariants:
+    - an order is sent only while the head holds its lease, and only after the lease grace;
+    - it carries the view number as fencing token (`mark`) and, on the engine's own clock, the lease's expiry
+      (`untilUs`);
+    - the chain has recorded the move for one lease duration before the order is sent, so that no daemon sends that
+      engine requests of its old phase;
+    - the move is removed from the chain only when every usage report that saw the old phase is too old to be used;
+    - `last_moved_at` is by service, `smoothed_load` by engine.
+    """
 
     def __init__(
         self, *, host: Host, agreement: ViewAgreement, connection_pool: EngineConnectionPool, chain: Any, table: Any
@@ -82,65 +92,70 @@
         self.connection_pool = connection_pool
         self.chain = chain
         self.table = table
-        self.moved: dict[str, timedelta] = {}
-        self.busy: dict[str, float] = {}
+        self.last_moved_at: dict[str, timedelta] = {}
+        self.smoothed_load: dict[str, float] = {}
 
     def run(self) -> None:
         while True:
-            self.host.sleep(wait=TICK)
-            works = self._look()
-            if self._in_charge():
-                self._conduct(works=works)
+            self.host.sleep(wait=SCHEDULING_INTERVAL)
+            loads = self._sample_loads()
+            if self._may_command():
+                self._schedule(loads=loads)
 
-    def _in_charge(self) -> bool:
+    def _may_command(self) -> bool:
+        """Whether this daemon may send orders now: a head that holds its lease, after the lease grace, not leaving."""
         agreement = self.agreement
-        hushed = self.host.elapsed() < agreement.acts_from + HUSH
-        return agreement.is_head() and agreement.holds_lease() and not hushed and not agreement.leaving
+        in_grace = self.host.elapsed() < agreement.may_act_from + LEASE_GRACE
+        return agreement.is_head() and agreement.holds_lease() and not in_grace and not agreement.leaving
 
-    def _look(self) -> dict[str, Work]:
-        works = {}
+    def _sample_loads(self) -> dict[str, EngineLoad]:
+        loads = {}
         for usage in self.table.summary():
             now = usage.running + usage.queued
-            before = self.busy.get(usage.engine, float(now))
-            self.busy[usage.engine] = before + NEW_PART * (now - before)
+            before = self.smoothed_load.get(usage.engine, float(now))
+            self.smoothed_load[usage.engine] = before + SMOOTHING_FACTOR * (now - before)
             if usage.reachable and not usage.leaving:
-                works[usage.engine] = Work(phase=usage.phase, slots=usage.capacity, busy=self.busy[usage.engine])
-        return works
+                loads[usage.engine] = EngineLoad(
+                    phase=usage.phase, slots=usage.capacity, busy=self.smoothed_load[usage.engine]
+                )
+        return loads
 
-    def _conduct(self, *, works: dict[str, Work]) -> None:
+    def _schedule(self, *, loads: dict[str, EngineLoad]) -> None:
         state = self.chain.state
         for name in sorted(state.moving):
-            # Left by a scheduler that did not come to the end of its move.
+            # Left over from a scheduler that was interrupted during a move.
             self.chain.write(change={"kind": "moved", "engine": name})
         engines = [engine for engine in state.engines if not engine.get("leaving")]
         for service in sorted({engine["service"] for engine in engines}):
-            if self.host.elapsed() - self.moved.get(service, -SETTLE) < SETTLE:
+            if self.host.elapsed() - self.last_moved_at.get(service, -SERVICE_COOLDOWN) < SERVICE_COOLDOWN:
                 continue
-            move = choose(engines=[e for e in engines if e["service"] == service], works=works)
+            move = choose_move(engines=[e for e in engines if e["service"] == service], loads=loads)
             if move is not None:
-                self._carry_out(move=move)
-                self.moved[service] = self.host.elapsed()
+                self._execute_move(move=move)
+                self.last_moved_at[service] = self.host.elapsed()
 
-    def _carry_out(self, *, move: Move) -> None:
+    def _execute_move(self, *, move: PhaseMove) -> None:
+        """Records the move on the chain, waits until all daemons honour it, sends the order, and clears the record."""
         name = move.engine["engine"]
-        told = self.chain.write(change={"kind": "move", "engine": name, "phase": move.phase})
-        if told.kind is not OutcomeKind.ANSWERED:
+        outcome = self.chain.write(change={"kind": "move", "engine": name, "phase": move.phase})
+        if outcome.kind is not OutcomeKind.ANSWERED:
             return
-        self.host.sleep(wait=self.agreement.lease + TICK / 5)
-        if self._in_charge():
-            self._order(move=move)
-        self.host.sleep(wait=FRESH + TICK / 5)
-        self.busy[name] = 0.0
+        self.host.sleep(wait=self.agreement.lease_duration + SCHEDULING_INTERVAL / 5)
+        if self._may_command():
+            self._send_order(move=move)
+        self.host.sleep(wait=FRESH + SCHEDULING_INTERVAL / 5)
+        self.smoothed_load[name] = 0.0
         self.chain.write(change={"kind": "moved", "engine": name})
 
-    def _order(self, *, move: Move) -> None:
+    def _send_order(self, *, move: PhaseMove) -> None:
+        """Sends the order to the engine. A failure is ignored: the next round decides anew."""
         try:
-            with time_limit(wait=ORDER_LIMIT), self.connection_pool.open(engine=move.engine) as stream:
+            with time_limit(wait=ORDER_TIMEOUT), self.connection_pool.open(engine=move.engine) as stream:
                 asked = self.host.elapsed()
                 status = json.loads(stream.call(method="GET", path="/status").read())
                 mark = self.agreement.view.number
-                left = self.agreement.lease_until() - asked
-                if not self._in_charge() or left <= ZERO:
+                left = self.agreement.lease_expiry() - asked
+                if not self._may_command() or left <= ZERO:
                     stream.whole = True
                     return
                 fields = {
@@ -162,13 +177,13 @@
     engines = [{"engine": name} for name in "abc"]
 
     def moved(**busy: tuple[str, float]) -> tuple[str, str] | None:
-        works = {name: Work(phase=phase, slots=4, busy=work) for name, (phase, work) in busy.items()}
-        move = choose(engines=engines, works=works)
+        loads = {name: EngineLoad(phase=phase, slots=4, busy=work) for name, (phase, work) in busy.items()}
+        move = choose_move(engines=engines, loads=loads)
         return move and (move.engine["engine"], move.phase)
 
     assert moved(a=("prefill", 5), b=("decode", 1.5), c=("decode", 1)) == ("c", "prefill")
-    assert moved(a=("prefill", 4), b=("decode", 1), c=("decode", 1)) is None  # not pressed
+    assert moved(a=("prefill", 4), b=("decode", 1), c=("decode", 1)) is None  # not overloaded
     assert moved(a=("prefill", 5), b=("decode", 2), c=("decode", 2)) is None  # one engine less would be short
     assert moved(a=("prefill", 5), b=("decode", 0)) is None  # the last of its phase stays
-    assert moved(b=("decode", 1), c=("decode", 0)) == ("c", "prefill")  # nobody reads
+    assert moved(b=("decode", 1), c=("decode", 0)) == ("c", "prefill")  # no engine prefills
     assert moved(a=("prefill", 0), b=("prefill", 1), c=("decode", 6)) == ("a", "decode")
--- a/dockmux/control/joining.py
+++ b/dockmux/control/joining.py
@@ -1,10 +1,10 @@
-"""Coming into the chain, or back in, at its tail: snapshots in parts, then the entries that are still lacking."""
+"""Joining or rejoining the chain at its tail: a snapshot in parts, then the log entries after it."""
 
 import dataclasses
 from datetime import timedelta
 from typing import Any
 
-from dockmux.control.chain_replica import BATCH_MOST, ChainReplica
+from dockmux.control.chain_replica import MAX_BATCH_ENTRIES, ChainReplica
 from dockmux.control.replica_store import ReplicaStore
 from dockmux.control.state import Snapshot, State
 from dockmux.control.view_agreement import ViewAgreement
@@ -13,27 +13,29 @@
 from dockmux.runtime.messages import JoinAsk, JoinReply
 from dockmux.runtime.rpc import RpcClient
 
-JOIN_PAUSE = timedelta(milliseconds=100)
-JOIN_LIMIT = timedelta(seconds=1)
-# So many entries are handed over at a time.
-JOIN_CHUNK = 2000
-# A snapshot that nobody has asked for a part of for so long is dropped.
-HANDOVER_LIMIT = timedelta(seconds=10)
+JOIN_POLL_INTERVAL = timedelta(milliseconds=100)
+JOIN_TIMEOUT = timedelta(seconds=1)
+# Entries per catch-up reply.
+MAX_CATCH_UP_ENTRIES = 2000
+# A snapshot is dropped when no part of it has been requested for this long.
+SNAPSHOT_TRANSFER_TIMEOUT = timedelta(seconds=10)
 
 
 @dataclasses.dataclass(kw_only=True)
-class Handover:
-    """A snapshot on its way to a core that comes in."""
+class SnapshotTransfer:
+    """A snapshot that is being sent to a joining core."""
 
     snapshot: Snapshot
-    asked_at: timedelta
+    last_requested_at: timedelta
 
 
 class Joining:
-    """Both sides of a hand-over: the core that comes in, and the tail that brings it up.
+    """Both sides of a join: the core that joins, and the members that send it a snapshot and the entries after it.
 
-    Invariants: whoever comes in begins with a snapshot of acknowledged state, whatever its disk held; it becomes a
-    candidate for the chain only when few entries are lacking; `handed` holds the snapshots on their way, by disk.
+    Invariants:
+    - a joining core starts from a snapshot of acknowledged state, whatever its disk holds;
+    - it becomes a candidate for the chain only when at most `MAX_BATCH_ENTRIES` entries are missing;
+    - `transfers` has the snapshots being sent, by the disk of the core that receives them.
     """
 
     def __init__(
@@ -45,28 +47,29 @@
         self.chain = chain
         self.rpc_client = rpc_client
         self.needs_snapshot = True
-        self.handed: dict[str, Handover] = {}
+        self.transfers: dict[str, SnapshotTransfer] = {}
 
     def run(self) -> None:
+        """Joins the chain whenever this core has a view but is not in its chain."""
         while True:
-            self.host.sleep(wait=JOIN_PAUSE)
+            self.host.sleep(wait=JOIN_POLL_INTERVAL)
             agreement = self.agreement
-            if agreement.view is None or agreement.ailing or agreement.leaving:
+            if agreement.view is None or agreement.disk_failed or agreement.leaving:
                 continue
-            if agreement.member():
+            if agreement.is_member():
                 self.needs_snapshot = True
                 continue
             try:
                 if self.needs_snapshot:
-                    self._take_snapshot()
+                    self._fetch_from_members()
                 if not self.needs_snapshot:
                     self._catch_up()
             except OSError:
                 agreement.ask_for_view()
 
-    def _take_snapshot(self) -> None:
-        """From any member, the last first: whatever one has folded is acknowledged. So a core that comes in need not
-        wait for the tail's lease under a view that has just begun."""
+    def _fetch_from_members(self) -> None:
+        """Loads a snapshot from any member, the tail first. Every member's applied state is acknowledged, so a joining
+        core need not wait for the tail's lease under a new view."""
         for disk in reversed(self.agreement.view.chain):
             address = self.agreement.address(disk=disk)
             if address is None:
@@ -76,53 +79,56 @@
             except OSError:
                 continue
             if state is not None:
-                self._become(state=state)
+                self._install_snapshot(state=state)
                 return
         self.agreement.ask_for_view()
 
     def _catch_up(self) -> None:
-        """Asks the tail for what is still lacking, which makes this core a candidate once that is little."""
+        """Fetches the missing entries from the tail, which adds this core as a candidate once few are missing."""
         address = self.agreement.address(disk=self.agreement.view.chain[-1])
         if address is None:
             self.agreement.ask_for_view()
             return
-        request = JoinAsk(disk=self.agreement.me, mark=self.chain.synced, fresh=False)
-        reply = self.rpc_client.call(address=address, request=request, wait=JOIN_LIMIT)
+        request = JoinAsk(disk=self.agreement.own_disk, mark=self.chain.synced_index, fresh=False)
+        reply = self.rpc_client.call(address=address, request=request, wait=JOIN_TIMEOUT)
         self.agreement.learn(view=reply.view)
-        with self.chain.extending:
-            if self.agreement.member():
+        with self.chain.append_lock:
+            if self.agreement.is_member():
                 return
             if reply.granted:
-                fresh = [entry for entry in reply.entries if entry.mark > self.chain.synced]
+                fresh = [entry for entry in reply.entries if entry.mark > self.chain.synced_index]
                 if fresh:
-                    self.chain.sync(entries=fresh)
+                    self.chain.sync_entries(entries=fresh)
                     for entry in fresh:
-                        self.chain.state.fold(mark=entry.mark, change=entry.change)
-                    self.chain.note_learned()
-                self.chain.planned = self.chain.state.copy()
-            elif self.chain.synced < reply.mark:
-                # The tail no longer has what is between.
+                        self.chain.state.apply(mark=entry.mark, change=entry.change)
+                    self.chain.note_known_configs()
+                self.chain.tentative = self.chain.state.copy()
+            elif self.chain.synced_index < reply.mark:
+                # The tail no longer retains the entries in between.
                 self.needs_snapshot = True
 
-    def _become(self, *, state: State) -> None:
-        with self.chain.extending:
-            if self.agreement.member():
+    def _install_snapshot(self, *, state: State) -> None:
+        """Replaces the stored log and the state, in place, by a snapshot. Does nothing if this core is a
+        member again."""
+        with self.chain.append_lock:
+            if self.agreement.is_member():
                 return
             self.store.entries = []
             self.store.reset(state=state)
             self.chain.state.__dict__.update(state.__dict__)
-            self.chain.planned = self.chain.state.copy()
-            self.chain.note_learned()
-            self.needs_snapshot = self.agreement.outrun = False
+            self.chain.tentative = self.chain.state.copy()
+            self.chain.note_known_configs()
+            self.needs_snapshot = self.agreement.behind_retained_log = False
             self.host.log(LogEvent.JOINED, mark=state.mark)
 
     def _fetch_snapshot(self, *, address: str) -> State | None:
-        """The tail's state, part by part."""
-        state = State(keep=self.store.keep)
+        """A member's state, fetched part by part; None if the member has none to send or the snapshot
+        changed meanwhile."""
+        state = State(claim_retention=self.store.claim_retention)
         number, parts = 0, 1
         while number < parts:
-            request = JoinAsk(disk=self.agreement.me, mark=state.mark, fresh=True, part=number)
-            reply = self.rpc_client.call(address=address, request=request, wait=JOIN_LIMIT)
+            request = JoinAsk(disk=self.agreement.own_disk, mark=state.mark, fresh=True, part=number)
+            reply = self.rpc_client.call(address=address, request=request, wait=JOIN_TIMEOUT)
             self.agreement.learn(view=reply.view)
             told = reply.snapshot
             if told is None or told["part"] != number or (number and told["mark"] != state.mark):
@@ -132,28 +138,36 @@
         return state
 
     def on_join(self, *, request: JoinAsk) -> JoinReply:
+        """As a member: sends a snapshot part (`fresh`). As the tail: sends acknowledged entries after `request.mark`,
+        or refuses if they are no longer retained."""
         agreement = self.agreement
         view = agreement.view
         if request.fresh:
-            part = self._snapshot_part(request=request) if agreement.member() else None
+            part = self._snapshot_part(request=request) if agreement.is_member() else None
             return JoinReply(granted=part is not None, mark=self.chain.state.mark, entries=[], snapshot=part, view=view)
         if not self.chain.acting_tail():
             return JoinReply(granted=False, mark=self.chain.state.mark, entries=[], view=view)
-        if request.mark < self.store.base_mark:
+        if request.mark < self.store.base_index:
             return JoinReply(granted=False, mark=self.chain.state.mark, entries=[])
-        missing = [entry for entry in self.chain.after(mark=request.mark) if entry.mark <= self.chain.state.mark]
-        if len(missing) <= BATCH_MOST:
-            agreement.note_candidate(disk=request.disk)
-        return JoinReply(granted=True, mark=self.chain.state.mark, entries=missing[:JOIN_CHUNK])
+        missing = [
+            entry for entry in self.chain.entries_after(mark=request.mark) if entry.mark <= self.chain.state.mark
+        ]
+        if len(missing) <= MAX_BATCH_ENTRIES:
+            agreement.add_candidate(disk=request.disk)
+        return JoinReply(granted=True, mark=self.chain.state.mark, entries=missing[:MAX_CATCH_UP_ENTRIES])
 
     def _snapshot_part(self, *, request: JoinAsk) -> dict[str, Any] | None:
-        """The part asked for, of the snapshot that this core began with; several may come in at once."""
+        """The requested part of the snapshot that this core's transfer began with; several cores may join at once."""
         now = self.host.elapsed()
-        self.handed = {d: h for d, h in self.handed.items() if now - h.asked_at < HANDOVER_LIMIT}
+        self.transfers = {
+            disk: kept
+            for disk, kept in self.transfers.items()
+            if now - kept.last_requested_at < SNAPSHOT_TRANSFER_TIMEOUT
+        }
         if request.part == 0:
-            self.handed[request.disk] = Handover(snapshot=self.chain.state.snapshot(), asked_at=now)
-        handover = self.handed.get(request.disk)
-        if handover is None or request.part >= len(handover.snapshot):
+            self.transfers[request.disk] = SnapshotTransfer(snapshot=self.chain.state.snapshot(), last_requested_at=now)
+        transfer = self.transfers.get(request.disk)
+        if transfer is None or request.part >= len(transfer.snapshot):
             return None
-        handover.asked_at = now
-        return handover.snapshot.part(number=request.part)
+        transfer.last_requested_at = now
+        return transfer.snapshot.part(number=request.part)
--- a/dockmux/control/program.py
+++ b/dockmux/control/program.py
@@ -1,4 +1,4 @@
-"""The control daemon's program."""
+"""Entry point of the control daemon."""
 
 import argparse
 import sys
--- a/dockmux/control/sessions.py
+++ b/dockmux/control/sessions.py
@@ -1,4 +1,4 @@
-"""Sessions of data daemons: renewed at one control daemon, told to all of them."""
+"""Sessions of data daemons: renewed at one control daemon and shared with the others through the tail."""
 
 import dataclasses
 from datetime import timedelta
@@ -9,19 +9,25 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Shared:
-    """What this member and a tail have told each other of sessions. Invariant: all that was renewed here before `upto`
-    is known there, and all that had reached it before `untilUs`, on its monotonic clock, is known here."""
+class TailExchange:
+    """How far this member and a tail have exchanged sessions.
+
+    Invariant: the tail knows every session renewed here before `sent_upto`, and this member knows every session that
+    reached the tail before `received_until_us`, in microseconds on the tail's monotonic clock.
+    """
 
     tail: str
-    upto: timedelta
-    untilUs: int
+    sent_upto: timedelta
+    received_until_us: int
 
 
 class Sessions:
-    """Invariants: `renewed_at` says when each session was last renewed here by its own daemon, `reached_at` when its
-    newest renewal reached this member, by whatever way; neither holds a session that `sessions` lacks once this was
-    tidied."""
+    """The sessions that this member knows, by daemon name, each with the monotonic time of its newest renewal.
+
+    Invariants: `renewed_at` has when each session was last renewed here by its own daemon, `reached_at` when its newest
+    renewal reached this member, directly or through another; after expired sessions have been removed, neither has a
+    session that `sessions` lacks. A session expires after `silence` without a renewal.
+    """
 
     def __init__(self, *, host: Host, silence: timedelta) -> None:
         self.host = host
@@ -29,14 +35,16 @@
         self.sessions: dict[str, tuple[PeerCard, timedelta]] = {}
         self.renewed_at: dict[str, timedelta] = {}
         self.reached_at: dict[str, timedelta] = {}
-        self.shared = Shared(tail="", upto=ZERO, untilUs=0)
+        self.exchange = TailExchange(tail="", sent_upto=ZERO, received_until_us=0)
 
-    def note(self, *, card: PeerCard) -> None:
+    def renew(self, *, card: PeerCard) -> None:
+        """Records a renewal by the daemon itself."""
         now = self.host.elapsed()
         self.sessions[card.name] = (card, now - ms(card.ageMs))
         self.renewed_at[card.name] = self.reached_at[card.name] = now
 
-    def hear(self, *, cards: list[PeerCard]) -> None:
+    def merge(self, *, cards: list[PeerCard]) -> None:
+        """Takes over renewals reported by another member, where they are newer."""
         for card in cards:
             heard = self.host.elapsed() - ms(card.ageMs)
             known = self.sessions.get(card.name)
@@ -44,9 +52,9 @@
                 self.sessions[card.name] = (card, heard)
                 self.reached_at[card.name] = self.host.elapsed()
 
-    def standing(self, *, since: timedelta = ZERO, at: dict[str, timedelta] | None = None) -> list[PeerCard]:
-        """Every session that stands, wherever it was renewed, with its age; of those in `at` only, and noted there at
-        `since` or later, when it is given."""
+    def active(self, *, since: timedelta = ZERO, at: dict[str, timedelta] | None = None) -> list[PeerCard]:
+        """The sessions that have not expired, with their age, sorted by name. If `at` is given, only those that it has
+        at `since` or later. Removes expired sessions."""
         now = self.host.elapsed()
         limit = self.silence
         for name in [name for name, (_, heard) in self.sessions.items() if now - heard >= limit]:
--- a/dockmux/control/state.py
+++ b/dockmux/control/state.py
@@ -1,4 +1,4 @@
-"""What the chain holds, folded from its entries."""
+"""The state machine that the chain's log entries are applied to, and its snapshots."""
 
 from collections.abc import Iterator
 from datetime import datetime, timedelta
@@ -11,31 +11,39 @@
 from dockmux.runtime.config import CONFIGS_KEPT, Config, config_from
 from dockmux.runtime.time_units import EPOCH
 
-# So many rows of the version log go into one part of a snapshot.
-VERSION_ROWS_A_PART = 8
+# Rows of the version log per snapshot part.
+VERSION_ROWS_PER_PART = 8
 
 
 class State:
-    """Invariants: `mark` is the last entry folded in; `configs` and `claims` are persistent, so a copy costs
-    nothing; `moving` names the engines that are to change phase, which get no new work; `news_mark` is the last
-    change that data daemons are told of; `versions` records every configuration that was taken, by the operator's
-    number or, without one, by its mark. A copy's claims lie over those of the state that it was made from."""
+    """The replicated state: configurations, engine list, phase moves, claims.
+
+    Invariants:
+    - `mark` is the index of the last applied entry;
+    - `configs` and `claims` are shared between copies, so a copy is cheap; a copy's claims are an overlay on those of
+      the state that it was made from;
+    - `moving` maps the engines that are about to change phase, which get no new requests, to the new phase;
+    - `news_mark` is the index of the last change that data daemons are told of, `engines_mark` of the last engine list;
+    - `versions` records every accepted configuration, by the operator's version or, without one, by its index;
+    - `claim_retention` is how long a claim is kept.
+    """
 
-    def __init__(self, *, keep: timedelta) -> None:
-        self.keep = keep
+    def __init__(self, *, claim_retention: timedelta) -> None:
+        self.claim_retention = claim_retention
         self.mark = 0
         self.news_mark = 0
         self.configs: PVector[Config] = pvector()
         self.engines: list[dict[str, Any]] = []
         self.engines_mark = 0
         self.moving: PMap[str, str] = pmap()
-        self.claims = Claims(keep=keep)
+        self.claims = Claims(claim_retention=claim_retention)
         self.versions = VersionLog()
 
     def copy(self) -> "State":
-        fresh = State(keep=self.keep)
+        """A copy that can be changed independently."""
+        fresh = State(claim_retention=self.claim_retention)
         fresh.__dict__.update(self.__dict__)
-        fresh.claims = self.claims.over()
+        fresh.claims = self.claims.overlay()
         return fresh
 
     @property
@@ -43,10 +51,11 @@
         return self.configs[-1] if self.configs else None
 
     def latest_time(self) -> datetime:
-        """No later source of time may begin before this."""
+        """A lower bound for the time at which a new time source may start."""
         return self.configs[-1].activate if self.configs else EPOCH
 
-    def fold(self, *, mark: int, change: dict[str, Any]) -> None:
+    def apply(self, *, mark: int, change: dict[str, Any]) -> None:
+        """Applies the log entry at index `mark`. ValueError if the kind of the change is unknown."""
         kind = change["kind"]
         if kind == "config":
             config = config_from(fields={"mark": mark, **change})
@@ -64,14 +73,14 @@
             self.moving = self.moving.discard(change["engine"])
             self.news_mark = mark
         elif kind == "claim":
-            self.claims.add(atUs=change["atUs"], key=change["key"], holder=change["holder"])
+            self.claims.add(at_us=change["atUs"], key=change["key"], holder=change["holder"])
         else:
             raise ValueError(f"unknown change {kind}")
         self.mark = mark
 
     def news(self, *, since: int, newest: bool = False) -> dict[str, Any]:
-        """The changes after a mark; for one that is far behind, all that is kept: a snapshot. With `newest`, of the
-        configurations only the last."""
+        """The changes after index `since`; a reader that is far behind gets all that is kept. With `newest`, only the
+        last of the configurations."""
         configs = self.configs[-1:] if newest else self.configs
         fields: dict[str, Any] = {"configs": [c.fields() for c in configs if c.mark > since]}
         fields["moving"] = dict(self.moving)
@@ -84,18 +93,18 @@
         return Snapshot(state=self)
 
     def restore(self, *, fields: dict[str, Any]) -> None:
-        """Takes in the next part of a snapshot, from part 0 on."""
+        """Applies the next part of a snapshot; the parts must come in order, from part 0."""
         if fields["part"] == 0:
             self._restore_head(fields=fields)
         for config in fields.get("configs", ()):
             self.configs = self.configs.append(config_from(fields=config))
-        for atUs, key, holder in fields.get("claims", ()):
-            self.claims.add(atUs=atUs, key=key, holder=holder)
+        for at_us, key, holder in fields.get("claims", ()):
+            self.claims.add(at_us=at_us, key=key, holder=holder)
         for row in fields.get("versions", ()):
             self.versions = self.versions.with_row(row=row)
         self.mark = fields["mark"]
         if fields["part"] == 0 and "configs" in fields:
-            self._adopt_kept_versions()
+            self._derive_versions_from_configs()
 
     def _restore_head(self, *, fields: dict[str, Any]) -> None:
         self.news_mark = fields["news_mark"]
@@ -103,11 +112,12 @@
         self.engines = fields["engines"]
         self.engines_mark = fields["engines_mark"]
         self.moving = pmap(fields["moving"])
-        self.claims = Claims(keep=self.keep)
+        self.claims = Claims(claim_retention=self.claim_retention)
         self.versions = VersionLog(forgotten_upto=fields.get("forgotten_upto", 0))
 
-    def _adopt_kept_versions(self) -> None:
-        """A snapshot from before versions were recorded, with its configurations in part 0: only these are known."""
+    def _derive_versions_from_configs(self) -> None:
+        """Fills the version log from a snapshot that was written before versions were recorded, which has its
+        configurations in part 0: only these versions are known."""
         if len(self.configs) == CONFIGS_KEPT:
             self.versions = VersionLog(forgotten_upto=self.configs[0].number - 1)
         for config in self.configs:
@@ -115,10 +125,11 @@
 
 
 class Snapshot:
-    """A state as it stood, in parts that each fit a message: its head, one configuration a part, the claims, the
-    taken versions.
+    """A point-in-time state in parts that each fit into a message: the header, one configuration per part, the claims,
+    the version log.
 
-    Invariant: the parts hold every claim up to `mark`, and perhaps later ones, which their entries then tell of again.
+    Invariant: the parts hold every claim up to index `mark`, and possibly later ones, which are applied again with
+    their own entries.
     """
 
     def __init__(self, *, state: State) -> None:
@@ -127,7 +138,7 @@
         self.claims = state.claims
         self.versions = state.versions
         self.claim_keys = state.claims.parts()
-        self.version_rows = range(0, state.versions.rows(), VERSION_ROWS_A_PART)
+        self.version_rows = range(0, state.versions.rows(), VERSION_ROWS_PER_PART)
         self.head = {
             "news_mark": state.news_mark,
             "engines": state.engines,
@@ -137,7 +148,7 @@
         }
 
     def __len__(self) -> int:
-        """How many parts it has."""
+        """The number of parts."""
         return 1 + len(self.configs) + len(self.claim_keys) + len(self.version_rows)
 
     def part(self, *, number: int) -> dict[str, Any]:
@@ -153,8 +164,8 @@
         if number < len(self.claim_keys):
             return {"claims": self.claims.rows(part=self.claim_keys[number])}
         first = self.version_rows[number - len(self.claim_keys)]
-        last = min(first + VERSION_ROWS_A_PART, self.versions.rows())
-        return {"versions": [self.versions.row(place=place) for place in range(first, last)]}
+        last = min(first + VERSION_ROWS_PER_PART, self.versions.rows())
+        return {"versions": [self.versions.row(index=index) for index in range(first, last)]}
 
     def all_parts(self) -> Iterator[dict[str, Any]]:
         for number in range(len(self)):
--- a/dockmux/control/version_check.py
+++ b/dockmux/control/version_check.py
@@ -1,4 +1,4 @@
-"""Whether a configuration may be taken: what it builds on, its number, and whether it was taken before."""
+"""Validation of a new configuration: its base, its version, and whether it was accepted before."""
 
 from typing import Any
 
@@ -8,12 +8,16 @@
 from dockmux.runtime.time_units import instant_us
 
 
-def judge_version(*, change: dict[str, Any], planned: State) -> Outcome | None:
-    """A configuration builds on the current one. Where operators number them, the number must rise. One that was
-    taken before, sent again for want of a clear answer, is told so, whatever was taken since."""
+def judge_version(*, change: dict[str, Any], tentative: State) -> Outcome | None:
+    """The outcome of a configuration that is refused or was accepted before, None if it may be appended.
+
+    A configuration must be based on the current one. Where operators assign versions, the version must increase. One
+    that is sent again after an unclear answer, and was accepted, is answered as accepted, whatever was accepted since.
+    Stores the tree's `digest` in `change`.
+    """
     digest = digest_of(tree=change["tree"])
     change["digest"] = digest.hex()
-    versions = planned.versions
+    versions = tentative.versions
     based_on, version = change["based_on"], change.get("version")
     if version is None:
         known = based_on is None or based_on >= versions.forgotten_upto
@@ -22,10 +26,12 @@
         known = version > versions.forgotten_upto
         taken = versions.taken(number=version)
     if taken is not None and taken.digest == digest:
-        return _taken_before(number=taken.number, planned=planned)
-    current = planned.config.number if planned.config else 0
+        return _taken_before(number=taken.number, tentative=tentative)
+    current = tentative.config.number if tentative.config else 0
     if based_on != current and not known:
-        return Outcome(kind=OutcomeKind.UNKNOWN, detail={"why": "too old: it is no longer known whether it was taken"})
+        return Outcome(
+            kind=OutcomeKind.UNKNOWN, detail={"why": "too old: whether it was accepted is no longer recorded"}
+        )
     if based_on != current:
         return Outcome(kind=OutcomeKind.MARK_OUTDATED, detail={"mark" if version is None else "version": current})
     if version is not None and version <= current:
@@ -33,9 +39,9 @@
     return None
 
 
-def _taken_before(*, number: int, planned: State) -> Outcome:
+def _taken_before(*, number: int, tentative: State) -> Outcome:
     detail: dict[str, Any] = {"mark": number}
-    for config in planned.configs:
+    for config in tentative.configs:
         if config.number == number:
             detail = {"mark": config.mark, "activateUs": instant_us(config.activate)}
             if config.version:
--- a/dockmux/control/version_log.py
+++ b/dockmux/control/version_log.py
@@ -1,4 +1,4 @@
-"""A compact record of every configuration version that was taken, so that an order sent again is recognized."""
+"""A compact log of accepted configuration versions, so that a configuration that is sent again is recognized."""
 
 import base64
 import dataclasses
@@ -11,21 +11,21 @@
 
 DIGEST_BYTES = 8
 _RECORD = struct.Struct(f">Q{DIGEST_BYTES}s")
-# Records are kept in blocks of this many; a full block is never changed again.
+# Records per block; a full block is never changed again.
 BLOCK_RECORDS = 4096
-# At 1,700 changes a day this is more than a year and a half, in 16 MB.
-KEPT_RECORDS = 1_000_000
+# At 1,700 changes a day this covers more than a year and a half, in 16 MB.
+MAX_RECORDS = 1_000_000
 
 
 def digest_of(*, tree: Any) -> bytes:
-    """What two configurations are compared by."""
+    """The digest by which configurations are compared, independent of key order."""
     packed = json.dumps(tree, sort_keys=True, separators=(",", ":")).encode()
     return hashlib.blake2b(packed, digest_size=DIGEST_BYTES).digest()
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TakenVersion:
-    """One version that was taken, by its number and the digest of its configuration."""
+    """An accepted version: its number and the digest of its configuration."""
 
     number: int
     digest: bytes
@@ -33,10 +33,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class VersionLog:
-    """Taken versions in the order of their numbers, which is the order in which they were taken.
+    """Accepted versions in the order of their numbers, which is the order in which they were accepted.
 
-    Invariants: numbers rise; each version builds on the one before it; every version above `forgotten_upto` that was
-    ever taken is in here; a log is never changed, so that copies share their blocks.
+    Invariants: numbers increase; each version is based on the one before it; every accepted version above
+    `forgotten_upto` is in the log; a log is immutable, so that copies share their blocks.
     """
 
     blocks: PVector = dataclasses.field(default_factory=pvector)
@@ -46,8 +46,8 @@
     def __len__(self) -> int:
         return len(self.blocks) * BLOCK_RECORDS + len(self.tail) // _RECORD.size
 
-    def __getitem__(self, place: int) -> TakenVersion:
-        block, offset = divmod(place, BLOCK_RECORDS)
+    def __getitem__(self, index: int) -> TakenVersion:
+        block, offset = divmod(index, BLOCK_RECORDS)
         data = self.blocks[block] if block < len(self.blocks) else self.tail
         number, digest = _RECORD.unpack_from(data, offset * _RECORD.size)
         return TakenVersion(number=number, digest=digest)
@@ -57,20 +57,21 @@
         return self[len(self) - 1].number if len(self) else self.forgotten_upto
 
     def append(self, *, number: int, digest: bytes) -> "VersionLog":
-        """With one more version. A number that does not rise ends the order: all before it is then forgotten."""
+        """A log with one more version. A number that does not increase breaks the order: all earlier versions, and
+        it, are forgotten."""
         if number <= self.last_number:
             return VersionLog(forgotten_upto=self.last_number)
         tail = self.tail + _RECORD.pack(number, digest)
         if len(tail) < BLOCK_RECORDS * _RECORD.size:
             return dataclasses.replace(self, tail=tail)
         blocks = self.blocks.append(tail)
-        if len(blocks) * BLOCK_RECORDS <= KEPT_RECORDS:
+        if len(blocks) * BLOCK_RECORDS <= MAX_RECORDS:
             return dataclasses.replace(self, blocks=blocks, tail=b"")
         forgotten_upto, _ = _RECORD.unpack_from(blocks[0], (BLOCK_RECORDS - 1) * _RECORD.size)
         return VersionLog(blocks=blocks[1:], tail=b"", forgotten_upto=forgotten_upto)
 
     def find(self, *, number: int) -> int | None:
-        """The place of a version; None when it is not in here."""
+        """The index of a version in the log; None if it is not in it."""
         low, high = 0, len(self)
         while low < high:
             middle = (low + high) // 2
@@ -81,32 +82,32 @@
         return low if low < len(self) and self[low].number == number else None
 
     def taken(self, *, number: int) -> TakenVersion | None:
-        """The version that was taken under this number."""
-        place = self.find(number=number)
-        return None if place is None else self[place]
+        """The version accepted under this number."""
+        index = self.find(number=number)
+        return None if index is None else self[index]
 
     def built_on(self, *, number: int) -> TakenVersion | None:
-        """The version that was taken on top of this one."""
+        """The version accepted on top of this one."""
         if number == self.forgotten_upto:
             following = 0
         else:
-            place = self.find(number=number)
-            if place is None:
+            index = self.find(number=number)
+            if index is None:
                 return None
-            following = place + 1
+            following = index + 1
         return self[following] if following < len(self) else None
 
-    # For snapshots: one row a block, and the unfinished block last.
+    # Snapshots have one row per block, the incomplete block last.
 
     def rows(self) -> int:
         return len(self.blocks) + 1
 
-    def row(self, *, place: int) -> str:
-        data = self.blocks[place] if place < len(self.blocks) else self.tail
+    def row(self, *, index: int) -> str:
+        data = self.blocks[index] if index < len(self.blocks) else self.tail
         return base64.b64encode(data).decode()
 
     def with_row(self, *, row: str) -> "VersionLog":
-        """With the records of the next row of another log."""
+        """A log with the records of the next row of another log."""
         data = base64.b64decode(row)
         if len(data) == BLOCK_RECORDS * _RECORD.size:
             return dataclasses.replace(self, blocks=self.blocks.append(data))
--- a/dockmux/platform_proxy/operator_api.py
+++ b/dockmux/platform_proxy/operator_api.py
@@ -46,7 +46,7 @@
 
     def _get(self, *, exchange: HttpExchange) -> Iterable[bytes]:
         """The newest acknowledged configuration, as it was sent."""
-        if not self.core.chain.confirm():
+        if not self.core.chain.confirm_read():
             why = {"why": "the tail did not confirm under its permit"}
             return exchange.conclude(outcome=Outcome(kind=OutcomeKind.NO_MAJORITY, detail=why))
         config = self.core.chain.state.config
--- a/dockmux/platform_proxy/phase_balancer.py
+++ b/dockmux/platform_proxy/phase_balancer.py
@@ -89,8 +89,8 @@
             agreement.is_head()
             and not agreement.leaving
             and agreement.holds_lease()
-            and now >= agreement.acts_from + self.deployment.lease
-            and agreement.lease_until() - now > ORDER_LIMIT
+            and now >= agreement.may_act_from + self.deployment.lease
+            and agreement.lease_expiry() - now > ORDER_LIMIT
         )
 
     def run(self) -> None:
@@ -215,6 +215,6 @@
         message = Moving(sender=self.core.peers.me(), engine=engine.engine, phase=phase, left_ms=to_ms(left))
         send: Callable[..., None] = self.core.gossip.send
         for _ in range(2):
-            for card in {c.address: c for c in self.core.peers.live() + self.core.chain.sessions.standing()}.values():
+            for card in {c.address: c for c in self.core.peers.live() + self.core.chain.sessions.active()}.values():
                 if card.role == "edge":
                     send(address=card.address, message=message)
--- a/dockmux/scale_model/fleet.py
+++ b/dockmux/scale_model/fleet.py
@@ -113,7 +113,7 @@
         def run(host: SimHost) -> None:
             core = Core(host=host, settings=checked)
             core.operator_api = OperatorApi(core=core, protocol=self.protocol).handle_http
-            core.duties.append(PhaseBalancer(core=core, deployment=deployment, protocol=self.protocol).run)
+            core.extra_tasks.append(PhaseBalancer(core=core, deployment=deployment, protocol=self.protocol).run)
             with core.running():
                 self.cores[name] = core
                 host.sleep(wait=timedelta(days=1))
@@ -190,7 +190,7 @@
 
     def has_head(self) -> bool:
         return any(core.agreement.is_head() and core.agreement.holds_lease() for core in self.cores.values()) and all(
-            core.agreement.member() and core.gossip.ready() for core in self.cores.values()
+            core.agreement.is_member() and core.gossip.ready() for core in self.cores.values()
         )
 
     def joined(self) -> bool:
@@ -245,7 +245,7 @@
     def roles(self) -> dict[str, list[str]]:
         """Names of the processes in each role."""
         view = next(iter(self.cores.values())).agreement.view
-        names = {core.agreement.me: name for name, core in self.cores.items()}
+        names = {core.agreement.own_disk: name for name, core in self.cores.items()}
         chain = [names[disk] for disk in view.chain]
         edges = sorted(self.edges)
         asker = min(self.edges.values(), key=lambda edge: edge.settings.address).settings.name
@@ -349,7 +349,7 @@
             told[role] = figures(meters=[made.hosts[name].meter for name in names], span_s=seconds)
             told[role]["state_bytes"] = made.state_bytes(name=names[0])
         fresh = made.told_part()
-        in_sight = statistics.mean(len(core.agreement.cores()) for core in made.cores.values())
+        in_sight = statistics.mean(len(core.agreement.core_cards()) for core in made.cores.values())
         made.reset()
         change_began = made.world.now()
         made.put()
--- a/dockmux/simulator/exchanges.py
+++ b/dockmux/simulator/exchanges.py
@@ -278,6 +278,6 @@
                      made.daemons[name].agreement.is_head())  # fmt: skip
         view = chain.agreement.view
         chain.store.view = View(number=2, chain=view.chain[1:], voters=view.voters)
-        followed = chain.followed
-        chain._push()
-        assert chain.followed == followed
+        followed = chain.successor_acked
+        chain._push_to_successor()
+        assert chain.successor_acked == followed
--- a/dockmux/simulator/faults.py
+++ b/dockmux/simulator/faults.py
@@ -301,7 +301,7 @@
         if not all(self.fleet.hosts[name].alive for name in self._cores()):
             return False
         agreements = [getattr(daemon, "agreement", None) for daemon in daemons]
-        disks = sorted(agreement.me for agreement in agreements if agreement is not None)
+        disks = sorted(agreement.own_disk for agreement in agreements if agreement is not None)
         return len(disks) == len(daemons) and all(
             agreement.view is not None and sorted(agreement.view.chain) == disks for agreement in agreements
         )
--- a/dockmux/simulator/rules.py
+++ b/dockmux/simulator/rules.py
@@ -15,7 +15,7 @@
 from dockmux.clock.gossip import Gossip
 from dockmux.control import engine_scheduler as scheduler
 from dockmux.control.chain_replica import ChainReplica
-from dockmux.control.engine_scheduler import Move
+from dockmux.control.engine_scheduler import PhaseMove
 from dockmux.engine_emulator.engine import Engine
 from dockmux.gossip.usage import UsageTable
 from dockmux.load_generator.client import Attempt, send
@@ -333,8 +333,8 @@
     chain = scene.made.daemons[head].chain
     address = next(core["http"] for core in scene.made.plan.cores if core["name"] == head)
     mark = scene.made.ask(address=address, method="GET", path="/config")[1]["mark"]
-    pushed_at = chain.pushed_at
-    while chain.pushed_at == pushed_at:
+    last_append_at = chain.last_append_at
+    while chain.last_append_at == last_append_at:
         scene.sleep(ms(1))
     # The chain has just been gone through: the head takes the change before it finds that it is alone.
     pairs = scene.cut(names=[head], others=[name for name in cores if name != head])
@@ -385,11 +385,11 @@
     return scene.rows(what="no_memory")[20:]
 
 
-def _always_move(*, engines: list[dict[str, Any]], works: dict[str, Any]) -> Move | None:
+def _always_move(*, engines: list[dict[str, Any]], loads: dict[str, Any]) -> PhaseMove | None:
     engine = next((engine for engine in engines if engine["engine"] == "engine-2"), None)
-    if engine is None or "engine-2" not in works:
+    if engine is None or "engine-2" not in loads:
         return None
-    return Move(engine=engine, phase="prefill" if works["engine-2"].phase == "decode" else "decode")
+    return PhaseMove(engine=engine, phase="prefill" if loads["engine-2"].phase == "decode" else "decode")
 
 
 def commanded(scene: Scene) -> list[Any]:
@@ -475,13 +475,13 @@
         return
 
 
-_plan = ChainReplica._plan
+_build_tentative = ChainReplica._build_tentative
 
 
 def _counts_by_the_clock(self: ChainReplica) -> Any:
-    planned = _plan(self)
-    self.planned_fromUs = instant_us(self.gossip.clock.now())
-    return planned
+    tentative = _build_tentative(self)
+    self.claims_time_us = instant_us(self.gossip.clock.now())
+    return tentative
 
 
 def _goes_on_anyway(
@@ -518,13 +518,13 @@
     return _take_usage(self, usage=dataclasses.replace(usage, leaving=False))
 
 
-_extend = ChainReplica._extend
+_append_pending = ChainReplica._append_pending
 
 
 def _acknowledges_one_copy(self: ChainReplica) -> None:
-    _extend(self)
+    _append_pending(self)
     for write in self.waiting:
-        write.done.send(Outcome(kind=OutcomeKind.ANSWERED, detail={"mark": write.mark}))
+        write.done.send(Outcome(kind=OutcomeKind.ANSWERED, detail={"mark": write.index}))
     self.waiting.clear()
 
 
@@ -587,7 +587,7 @@
         number=1,
         check="once_runs_once",
         act=once_for_a_day,
-        defences={"the claims' time is no clock's": [(ChainReplica, "_plan", _counts_by_the_clock)]},
+        defences={"the claims' time is no clock's": [(ChainReplica, "_build_tentative", _counts_by_the_clock)]},
         early=True,
     ),
     Rule(
@@ -647,7 +647,7 @@
     Rule(
         number=9, check="configurations_are_kept", act=kept,
         defences={
-            "two copies": [(ChainReplica, "_extend", _acknowledges_one_copy)],
+            "two copies": [(ChainReplica, "_append_pending", _acknowledges_one_copy)],
             "the sync": [(RecordLog, "append", _syncs_nothing)],
         },
     ),
@@ -664,9 +664,9 @@
     ),
     Rule(
         number=11, check="one_commands_at_a_time", act=commanded, settings={"permitMs": 300, "suspectMs": 300},
-        stirs=[(scheduler, "choose", _always_move), (scheduler, "SETTLE", timedelta())],
+        stirs=[(scheduler, "choose_move", _always_move), (scheduler, "SERVICE_COOLDOWN", timedelta())],
         defences={
-            "the hush": [(scheduler, "HUSH", timedelta())],
+            "the hush": [(scheduler, "LEASE_GRACE", timedelta())],
             "the permit's end at the engine": [(scheduler, "to_us", lambda span: 3_600_000_000)],
         },
     ),
--- a/tests/control/cores.py
+++ b/tests/control/cores.py
@@ -128,7 +128,7 @@
         if len(cores) < sum(self.hosts[name].alive for name in self.names):
             return False
         numbers = {core.agreement.view.number for core in cores if core.agreement.view is not None}
-        level = all(core.agreement.member() and core.store.level for core in cores)
+        level = all(core.agreement.is_member() and core.store.caught_up for core in cores)
         return level and len(numbers) == 1 and len(cores) == len(self.chain())
 
     def place(self, *, name: str) -> int:
--- a/tests/control/growth_figures.py
+++ b/tests/control/growth_figures.py
@@ -33,7 +33,7 @@
 
 def _open(*, folder: str) -> ReplicaStore:
     host = _QuietHost(name="figures", folder=folder)
-    store = ReplicaStore(host=host, folder=host.folder, keep=KEEP)
+    store = ReplicaStore(host=host, folder=host.folder, claim_retention=KEEP)
     store.open()
     return store
 
@@ -46,13 +46,13 @@
 
 def _fill(*, store: ReplicaStore, count: int) -> tuple[State, float]:
     """The state after so many changes, and the longest rewrite in seconds."""
-    state, longest = store.opened, 0.0
+    state, longest = store.initial_state, 0.0
     for number in range(1, count + 1):
         change = _change(number=number)
         store.append(entries=[Entry(mark=number, change=change)])
-        state.fold(mark=number, change=change)
+        state.apply(mark=number, change=change)
         began = time.perf_counter()
-        store.shorten(state=state)
+        store.compact(state=state)
         longest = max(longest, time.perf_counter() - began)
     return state, longest
 
@@ -60,7 +60,7 @@
 def _hand_over(*, state: State) -> tuple[int, float]:
     """Bytes and seconds of a snapshot from one core to another, without the network."""
     began, size = time.perf_counter(), 0
-    other = State(keep=KEEP)
+    other = State(claim_retention=KEEP)
     for part in state.snapshot().all_parts():
         data = codec.encode(message=JoinReply(granted=True, mark=state.mark, entries=[], snapshot=part))
         size += len(data)
@@ -76,9 +76,9 @@
     began = time.perf_counter()
     again = _open(folder=folder)
     for entry in again.entries:
-        again.opened.fold(mark=entry.mark, change=entry.change)
+        again.initial_state.apply(mark=entry.mark, change=entry.change)
     restart = time.perf_counter() - began
-    assert again.opened.versions == state.versions
+    assert again.initial_state.versions == state.versions
     snapshot_size, handed = _hand_over(state=state)
     shutil.rmtree(folder)
     return {
--- a/tests/control/growth_test.py
+++ b/tests/control/growth_test.py
@@ -40,7 +40,7 @@
 
 @pytest.mark.parametrize("seed", [71])
 def test_members_that_come_back_in_a_storm_of_changes_catch_up(seed: int, monkeypatch: pytest.MonkeyPatch):
-    monkeypatch.setattr(replica_store, "REWRITE_FROM_BYTES", 400_000)
+    monkeypatch.setattr(replica_store, "MIN_REWRITE_BYTES", 400_000)
     with cores(seed=seed) as made:
         storm = _Storm(made=made)
         made.outside.spawn(task=storm.run)
@@ -79,8 +79,8 @@
         wiped, tail = made.chain()[1], made.chain()[-1]
         made.wipe(name=wiped)
         made.start(name=wiped)
-        handing = made.daemons[tail].joining.handed
-        assert made.wait_until(what=lambda: bool(made.daemons[tail].joining.handed), limit=8 * SECOND), handing
+        handing = made.daemons[tail].joining.transfers
+        assert made.wait_until(what=lambda: bool(made.daemons[tail].joining.transfers), limit=8 * SECOND), handing
         made.kill(name=tail)
         assert _time_until_whole(made=made) < 8 * SECOND
         made.start(name=tail)
--- a/tests/control/membership_test.py
+++ b/tests/control/membership_test.py
@@ -47,10 +47,10 @@
 def test_without_the_memory_of_who_stayed_the_second_loss_would_end_it(monkeypatch: pytest.MonkeyPatch):
     def stays_level(self: ViewAgreement, *, view: View) -> bool:
         old = self.view
-        known = old is not None and view.number == old.number + 1 and self.me in old.chain
-        return view.number == 1 or (self.store.level and known)
+        known = old is not None and view.number == old.number + 1 and self.own_disk in old.chain
+        return view.number == 1 or (self.store.caught_up and known)
 
-    monkeypatch.setattr(ViewAgreement, "_stays_level", stays_level)
+    monkeypatch.setattr(ViewAgreement, "_stays_caught_up", stays_level)
     with cores(seed=41, count=5, survive=2) as made:
         assert _lose_the_head_after_a_repair(made=made) == 0
 
@@ -147,7 +147,7 @@
 
 def _replaced(*, made: Cores, name: str) -> Any:
     fresh = made.daemons[name].agreement
-    return fresh.me
+    return fresh.own_disk
 
 
 def test_a_replaced_member_never_counts_under_two_identities():
--- a/tests/control/orders_again_test.py
+++ b/tests/control/orders_again_test.py
@@ -132,7 +132,7 @@
     def answer_at_once(self: ChainReplica) -> None:
         done, self.waiting = self.waiting, []
         for write in done:
-            write.done.send(write.verdict or self._taken(write=write))
+            write.done.send(write.verdict or self._accepted_outcome(write=write))
 
     monkeypatch.setattr(ChainReplica, "_answer_acknowledged", answer_at_once)
     with cores(seed=34) as made:
--- a/tests/control/reads_test.py
+++ b/tests/control/reads_test.py
@@ -48,9 +48,9 @@
 
 def test_with_knowledge_of_a_lease_ago_it_would(monkeypatch: pytest.MonkeyPatch):
     def confirm(self: ChainReplica) -> bool:
-        return self.age() < self.agreement.lease
+        return self.staleness() < self.agreement.lease_duration
 
-    monkeypatch.setattr(ChainReplica, "confirm", confirm)
+    monkeypatch.setattr(ChainReplica, "confirm_read", confirm)
     with cores(seed=61, count=5, survive=2) as made:
         reads = _read_behind_a_cut(made=made)
         assert [row for row in reads if row[1] not in (0, row[0])] != []
--- a/tests/control/replica_store_test.py
+++ b/tests/control/replica_store_test.py
@@ -64,17 +64,17 @@
 
 
 def _vault(*, folder: Any) -> ReplicaStore:
-    store = ReplicaStore(host=_Desk(), folder=folder, keep=timedelta(hours=24))
+    store = ReplicaStore(host=_Desk(), folder=folder, claim_retention=timedelta(hours=24))
     store.open()
     return store
 
 
 def _holds(*, store: ReplicaStore) -> Any:
-    state = store.opened
+    state = store.initial_state
     for entry in store.entries:
-        state.fold(mark=entry.mark, change=entry.change)
-    claims = sorted(state.claims.kept.items())
-    return store.disk, store.view, store.level, store.promised, store.accepted, state.mark, state.config, claims
+        state.apply(mark=entry.mark, change=entry.change)
+    claims = sorted(state.claims.claims_by_key.items())
+    return store.disk, store.view, store.caught_up, store.promised, store.accepted, state.mark, state.config, claims
 
 
 def test_a_power_cut_at_any_step_of_a_rewrite_of_either_file_loses_nothing():
@@ -99,9 +99,9 @@
         for file in ("votes", "chain"):
             folder = _CutFolder(files=dict(filled.files))
             cut = _vault(folder=folder)
-            state = cut.opened
+            state = cut.initial_state
             for entry in cut.entries[:30]:
-                state.fold(mark=entry.mark, change=entry.change)
+                state.apply(mark=entry.mark, change=entry.change)
             folder.cut_at, folder.moved = step, moved
             try:
                 cut._rewrite_votes() if file == "votes" else cut.reset(state=state)
@@ -116,9 +116,9 @@
     filled = _CutFolder(files={})
     store = _vault(folder=filled)
     claims = [{"kind": "claim", "key": f"k{n}", "holder": "h", "atUs": n * 10**9} for n in range(2000)]
-    state = store.opened
+    state = store.initial_state
     for n, c in enumerate(claims):
-        state.fold(mark=n + 1, change=c)
+        state.apply(mark=n + 1, change=c)
     store.reset(state=state)
     lines = filled.files["chain"].splitlines(keepends=True)
     assert len(lines) > 2
--- a/tests/control/version_log_test.py
+++ b/tests/control/version_log_test.py
@@ -23,7 +23,7 @@
 @pytest.fixture
 def small_blocks(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(version_log, "BLOCK_RECORDS", 4)
-    monkeypatch.setattr(version_log, "KEPT_RECORDS", 12)
+    monkeypatch.setattr(version_log, "MAX_RECORDS", 12)
 
 
 def test_every_version_is_found_by_its_number_and_by_what_it_builds_on(small_blocks: None):
@@ -63,8 +63,8 @@
     for count in (0, 3, 4, 5, 11, 20):
         log = _filled(numbers=range(1, count + 1))
         copy = VersionLog(forgotten_upto=log.forgotten_upto)
-        for place in range(log.rows()):
-            copy = copy.with_row(row=log.row(place=place))
+        for index in range(log.rows()):
+            copy = copy.with_row(row=log.row(index=index))
         assert copy == log
 
 
@@ -76,7 +76,7 @@
         "mark": 30, "part": 0, "parts": 1, "news_mark": 30, "configs": configs, "engines": [], "engines_mark": 0,
         "moving": {}, "claims": [],
     }  # fmt: skip
-    state = State(keep=timedelta(hours=1))
+    state = State(claim_retention=timedelta(hours=1))
     state.restore(fields=head)
     assert state.versions.taken(number=11).digest == digest_of(tree={"n": 11})
     assert state.versions.forgotten_upto == 10 and state.versions.last_number == 30
--- a/tests/control_model/observer.py
+++ b/tests/control_model/observer.py
@@ -42,9 +42,9 @@
             self._look_at_state(core=core)
             if view is None:
                 continue
-            if self.views.get(agreement.me) is not view:
-                self.views[agreement.me] = view
-                self._note_view(disk=agreement.me, view=view)
+            if self.views.get(agreement.own_disk) is not view:
+                self.views[agreement.own_disk] = view
+                self._note_view(disk=agreement.own_disk, view=view)
             self._look_at_lease(agreement=agreement)
             if with_logs:
                 self._look_at_log(agreement=agreement)
@@ -55,23 +55,23 @@
 
     def _look_at_lease(self, *, agreement: ViewAgreement) -> None:
         view = agreement.view
-        if agreement.me not in view.chain:
+        if agreement.own_disk not in view.chain:
             return
         if not _holds_lease(agreement=agreement):
             return
         for role, disk in (("head", view.chain[0]), ("tail", view.chain[-1])):
-            if disk == agreement.me and agreement.store.level:
+            if disk == agreement.own_disk and agreement.store.caught_up:
                 acting = Acting(at=self.machines.world.now(), disk=disk, role=role, number=view.number)
                 self.history.acting.append(acting)
 
     def _look_at_log(self, *, agreement: ViewAgreement) -> None:
         view, store = agreement.view, agreement.store
-        if agreement.me not in view.chain:
+        if agreement.own_disk not in view.chain:
             return
         entries = tuple(_changed(fields=entry.change) for entry in store.entries)
         log = MemberLog(
-            at=self.machines.world.now(), disk=agreement.me, number=view.number,
-            place=view.chain.index(agreement.me), base_mark=store.base_mark, entries=entries,
+            at=self.machines.world.now(), disk=agreement.own_disk, number=view.number,
+            place=view.chain.index(agreement.own_disk), base_mark=store.base_index, entries=entries,
         )  # fmt: skip
         self.history.logs.append(log)
 
@@ -84,7 +84,7 @@
         for config in state.configs:
             if config.mark > known:
                 learned = Learned(
-                    at=self.machines.world.now(), disk=core.agreement.me, mark=config.mark,
+                    at=self.machines.world.now(), disk=core.agreement.own_disk, mark=config.mark,
                     change=unpacked(config.tree["text"]),
                 )  # fmt: skip
                 self.history.learned.append(learned)
--- a/tests/control_model/play.py
+++ b/tests/control_model/play.py
@@ -106,7 +106,7 @@
         end = self.world.now() + limit
         while self.world.now() < end:
             agreements = [agreement for _, agreement, _ in self.machines.agreements()]
-            disks = {agreement.me for agreement in agreements}
+            disks = {agreement.own_disk for agreement in agreements}
             views = [agreement.view for agreement in agreements if agreement.view is not None]
             if len(views) == len(self.machines.names) and all(set(view.chain) == disks for view in views):
                 return True
@@ -211,7 +211,7 @@
             return 0
         view = max((agreement.view for _, agreement, _ in found), key=lambda view: view.number)
         index = {Place.HEAD: 0, Place.MIDDLE: len(view.chain) // 2, Place.TAIL: -1}[place]
-        return next((row[0] for row in found if row[1].me == view.chain[index]), 0)
+        return next((row[0] for row in found if row[1].own_disk == view.chain[index]), 0)
 
     def _may_lose(self, *, place: int) -> bool:
         return place not in self.lost and len(self.lost) < self.survive and not self.all_down
--- a/tests/gauge_test.py
+++ b/tests/gauge_test.py
@@ -126,7 +126,7 @@
 
         def seen() -> list[set[str]]:
             return [
-                {card.name for card in core.chain.sessions.standing()}
+                {card.name for card in core.chain.sessions.active()}
                 for name, core in made.cores.items()
                 if made.hosts[name].alive
             ]
@@ -154,7 +154,7 @@
                     fields = {"name": address, "role": "edge", "site": "z", "address": address, "http": address}
                     core.peers.hear(card=type(card)(**fields, incarnation="x", ageMs=0))
             made.operator.sleep(wait=ms(500))
-            assert [len(core.agreement.cores()) for core in made.cores.values()] == [4] * 5
+            assert [len(core.agreement.core_cards()) for core in made.cores.values()] == [4] * 5
 
 
 def test_slopes_of_known_lines():
--- a/tests/planted_faults/probes.py
+++ b/tests/planted_faults/probes.py
@@ -8,7 +8,7 @@
 
 import eventlet
 
-from dockmux.control.chain_replica import BATCH_MOST, Write
+from dockmux.control.chain_replica import MAX_BATCH_ENTRIES, Write
 from dockmux.control.core import Core
 from dockmux.control.state import State
 from dockmux.control.view_agreement import Founders, ViewAgreement
@@ -47,7 +47,7 @@
 
 def _chain_cores(*, player: Player) -> list[Core]:
     """The daemons in the order of the chain."""
-    by_disk = {core.agreement.me: core for _, _, core in player.machines.agreements()}
+    by_disk = {core.agreement.own_disk: core for _, _, core in player.machines.agreements()}
     return [by_disk[disk] for disk in _core(player=player, place=0).agreement.view.chain]
 
 
@@ -68,7 +68,7 @@
 
 
 def _without_vote(*, agreement: ViewAgreement) -> View:
-    voters = [disk for disk in agreement.view.voters if disk != agreement.me]
+    voters = [disk for disk in agreement.view.voters if disk != agreement.own_disk]
     return dataclasses.replace(agreement.view, voters=voters)
 
 
@@ -116,7 +116,7 @@
             now = agreement.host.elapsed()
             for voter, counted in dict(agreement.grants).items():
                 fresh = known.get(voter) != counted
-                if voter in known and voter != agreement.me and fresh and now - counted < ms(390):
+                if voter in known and voter != agreement.own_disk and fresh and now - counted < ms(390):
                     yield f"a grant counts from {now - counted} before its answer came"
                     return
                 known[voter] = counted
@@ -179,10 +179,10 @@
         assert agreement.on_promise(request=PromiseAsk(number=wanted.number, ballot=5, proposer="m")).granted
         if accept(wanted, 4):
             yield "a view accepted under ballot 4 after a promise for 5"
-        agreement.store.level = False
-        if accept(dataclasses.replace(wanted, chain=[agreement.me]), 6):
+        agreement.store.caught_up = False
+        if accept(dataclasses.replace(wanted, chain=[agreement.own_disk]), 6):
             yield "a view accepted by its head, which lacks entries"
-        agreement.store.level = True
+        agreement.store.caught_up = True
         assert accept(wanted, 7)
         store = _restart(player=player, core=core).store
         if store.view.number == view.number and (store.accepted or {}).get("number") != wanted.number:
@@ -193,11 +193,11 @@
     with playing(members=3, seed=SEED) as player:
         first, second, third = (_core(player=player, place=place).agreement for place in range(3))
         view = first.view
-        decided = _next(view=view, chain=[first.me, second.me])
+        decided = _next(view=view, chain=[first.own_disk, second.own_disk])
         for agreement in (second, third):
             assert agreement.on_accept(request=AcceptAsk(ballot=3, proposer="m", view=decided)).granted
         first.ballot = 5
-        first.propose(chain=[first.me, third.me], voters=view.voters)
+        first.propose(chain=[first.own_disk, third.own_disk], voters=view.voters)
         if first.view.number == decided.number and first.view != decided:
             yield "a view was proposed in place of one that a majority had accepted"
 
@@ -207,27 +207,27 @@
     its promises."""
     with playing(members=3, seed=SEED) as player:
         first, second, third = (_core(player=player, place=place).agreement for place in range(3))
-        decided = _next(view=first.view, chain=[first.me, second.me])
+        decided = _next(view=first.view, chain=[first.own_disk, second.own_disk])
         for agreement in (second, third):
             assert agreement.on_accept(request=AcceptAsk(ballot=3, proposer="m", view=decided)).granted
         machine = player.machines.host(place=0).machine
         machine.isolated = True
         first.ballot = 5
-        task = eventlet.spawn(first.propose, chain=[first.me, third.me], voters=first.view.voters)
-        player.sleep(first.lease - ms(5))
+        task = eventlet.spawn(first.propose, chain=[first.own_disk, third.own_disk], voters=first.view.voters)
+        player.sleep(first.lease_duration - ms(5))
         machine.isolated = False
         task.wait()
         if first.view.number == decided.number and first.view != decided:
             yield "a view was decided without a majority of promises"
     with playing(members=3, seed=SEED) as player:
         first = _core(player=player, place=0).agreement
-        number, machine, heed = first.view.number, player.machines.host(place=0).machine, first._heed
+        number, machine, heed = first.view.number, player.machines.host(place=0).machine, first._process_replies
 
         def cutting(*, replies: list[Any]) -> None:
             machine.isolated = True
             heed(replies=replies)
 
-        first._heed = cutting
+        first._process_replies = cutting
         first.propose(chain=first.view.chain, voters=first.view.voters)
         if first.view.number != number:
             yield "a view was decided without a majority of acceptances"
@@ -237,7 +237,7 @@
 
 
 def _acts_within_a_lease(*, player: Player, agreement: ViewAgreement, passed: timedelta = ZERO) -> bool:
-    end = player.world.now() + agreement.lease - passed - ms(10)
+    end = player.world.now() + agreement.lease_duration - passed - ms(10)
     while player.world.now() < end:
         if agreement.holds_lease():
             return True
@@ -250,7 +250,7 @@
         core = _core(player=player, place=1)
         agreement = core.agreement
         agreement.learn(view=_next(view=agreement.view))
-        if not agreement.store.level:
+        if not agreement.store.caught_up:
             yield "a member that keeps its place is not level any more"
         core = _restart(player=player, core=core)
         if _acts_within_a_lease(player=player, agreement=core.agreement, passed=RESTART_WAIT):
@@ -268,20 +268,20 @@
         with playing(members=3, seed=SEED) as player:
             agreement = _core(player=player, place=1).agreement
             view = agreement.view
-            agreement.store.level = level
-            others = [disk for disk in view.chain if disk != agreement.me]
-            chain = [*others, agreement.me] if inside else others
-            joined = {disk: view.number + joined_later * (disk == agreement.me) for disk in chain}
+            agreement.store.caught_up = level
+            others = [disk for disk in view.chain if disk != agreement.own_disk]
+            chain = [*others, agreement.own_disk] if inside else others
+            joined = {disk: view.number + joined_later * (disk == agreement.own_disk) for disk in chain}
             number = view.number + (2 if inside else 1)
             agreement.learn(view=View(number=number, chain=chain, voters=view.voters, joined=joined))
-            if agreement.store.level:
+            if agreement.store.caught_up:
                 yield what
     with playing(members=3, seed=SEED) as player:
         agreement = _core(player=player, place=1).agreement
-        others = [disk for disk in agreement.view.chain if disk != agreement.me]
+        others = [disk for disk in agreement.view.chain if disk != agreement.own_disk]
         agreement.store.view = dataclasses.replace(agreement.view, chain=others)
-        agreement.learn(view=_next(view=agreement.view, chain=[*others, agreement.me]))
-        if agreement.store.level:
+        agreement.learn(view=_next(view=agreement.view, chain=[*others, agreement.own_disk]))
+        if agreement.store.caught_up:
             yield "level as soon as it came into the chain"
 
 
@@ -301,8 +301,8 @@
         if agreement._founders() is not None:
             yield "founds before it has heard every seed"
         agreement.settings = settings
-        voters = sorted([agreement.me, "x", "y"])
-        other = sorted([agreement.me, "x", "z"])
+        voters = sorted([agreement.own_disk, "x", "y"])
+        other = sorted([agreement.own_disk, "x", "z"])
         known = Founders(disks=voters, seeds=frozenset(["x", "y"]), proposer="x")
         agreement._founders = lambda: known
 
@@ -340,7 +340,7 @@
         while not all(agreement._founders() for agreement in agreements):
             player.sleep(ms(10))
         founders = agreements[0]._founders().disks
-        away = next(place for place in range(3) if agreements[place].me == founders[-1])
+        away = next(place for place in range(3) if agreements[place].own_disk == founders[-1])
         player.machines.host(place=away).machine.isolated = True
         for agreement in agreements:
             agreement.store.may_found = True
@@ -368,49 +368,49 @@
         core = _chain_cores(player=player)[-1]
         agreement, chain, store = core.agreement, core.chain, core.store
         view = agreement.view
-        held = chain.synced
+        held = chain.synced_index
 
         def append(mark: int, entries: list[Entry], *, number: int = view.number, upto: int = 0) -> Any:
             return chain.on_append(request=Append(number=number, mark=mark, upto=upto, entries=entries))
 
         append(held, _entries(after=held, count=1), number=view.number - 1)
-        if chain.synced != held:
+        if chain.synced_index != held:
             yield "entries taken under an older view"
-        held = chain.synced
+        held = chain.synced_index
         agreement.store.view = dataclasses.replace(view, chain=view.chain[:-1])
         append(held, _entries(after=held, count=1))
         agreement.store.view = view
-        if chain.synced != held:
+        if chain.synced_index != held:
             yield "entries taken outside the chain"
-        held = chain.synced
+        held = chain.synced_index
         if append(held + 2, _entries(after=held + 2, count=1)).state != "behind":
             yield "entries after a gap are not asked for anew"
         append(held, _entries(after=held + 1, count=1))
-        if chain.synced != held:
+        if chain.synced_index != held:
             yield "entries taken after a gap"
             return
-        agreement.outrun = False
+        agreement.behind_retained_log = False
         if append(held - 1, _entries(after=held - 1, count=2)).state != "acked" or len(store.entries) != held + 1:
             yield f"{len(store.entries)} entries held up to {held + 1}"
             return
-        held = chain.synced
+        held = chain.synced_index
         written = parse(data=core.host.machine.disk.files["chain"])[0]
         if written[-1].get("mark") != held:
             yield "an entry was acknowledged before it was synced"
-        store.level = False
+        store.caught_up = False
         append(held, [], upto=held + 5)
-        if store.level:
+        if store.caught_up:
             yield "level before it holds what its predecessor does"
-        store.level = True
+        store.caught_up = True
         core.host.machine.disk.syncs_fail = True
-        if append(held, _entries(after=held, count=1)).state == "acked" or chain.synced != held:
+        if append(held, _entries(after=held, count=1)).state == "acked" or chain.synced_index != held:
             yield "an entry counts although its sync failed"
 
 
 def tail_without_lease() -> Iterator[str]:
     with playing(members=3, seed=SEED) as player:
         core = _chain_cores(player=player)[-1]
-        held = core.chain.synced
+        held = core.chain.synced_index
         core.agreement.grants.clear()
         request = Append(number=core.agreement.view.number, mark=held, upto=held, entries=[])
         if core.chain.on_append(request=request).state == "acked":
@@ -423,8 +423,8 @@
 def tail_not_level() -> Iterator[str]:
     with playing(members=3, seed=SEED) as player:
         core = _chain_cores(player=player)[-1]
-        held = core.chain.synced
-        core.store.level = False
+        held = core.chain.synced_index
+        core.store.caught_up = False
         request = Append(number=core.agreement.view.number, mark=held, upto=held + 5, entries=[])
         if core.chain.on_append(request=request).state == "acked":
             yield "acknowledged by a tail that is not level"
@@ -434,19 +434,19 @@
     with playing(members=3, seed=SEED) as player:
         _, middle, tail = _chain_cores(player=player)
         view = middle.agreement.view
-        middle.store.view = dataclasses.replace(view, chain=[tail.agreement.me])
+        middle.store.view = dataclasses.replace(view, chain=[tail.agreement.own_disk])
         if middle.joining.on_join(request=JoinAsk(disk="j", mark=0, fresh=True)).granted:
             yield "a snapshot handed out by one outside the chain"
         middle.store.view = view
         if middle.joining.on_join(request=JoinAsk(disk="j", mark=0, fresh=False)).granted:
             yield "entries handed out by one that is not the tail"
-        held, number = tail.chain.synced, tail.agreement.view.number
-        many = _entries(after=held, count=BATCH_MOST + 50)
+        held, number = tail.chain.synced_index, tail.agreement.view.number
+        many = _entries(after=held, count=MAX_BATCH_ENTRIES + 50)
         tail.chain.on_append(request=Append(number=number, mark=held, upto=many[-1].mark, entries=many))
         tail.joining.on_join(request=JoinAsk(disk="slow", mark=held, fresh=False))
-        if "slow" in tail.agreement.candidates:
+        if "slow" in tail.agreement.join_candidates:
             yield "one that is far behind is a candidate"
-        known = tail.chain.synced
+        known = tail.chain.synced_index
         tail.store.append(entries=_entries(after=known, count=1))
         handed = tail.joining.on_join(request=JoinAsk(disk="j", mark=known - 1, fresh=False)).entries
         if handed[-1].mark != known:
@@ -460,17 +460,17 @@
     """A hand-over ends when its receiver is a member again."""
     with playing(members=3, seed=SEED) as player:
         _, middle, tail = _chain_cores(player=player)
-        held = middle.chain.synced
-        middle.joining._become(state=State(keep=middle.store.keep))
-        if middle.chain.synced != held:
+        held = middle.chain.synced_index
+        middle.joining._install_snapshot(state=State(claim_retention=middle.store.claim_retention))
+        if middle.chain.synced_index != held:
             yield "a member was put back to a snapshot"
-        one = _entries(after=tail.chain.synced, count=1)
+        one = _entries(after=tail.chain.synced_index, count=1)
         tail.chain.on_append(
             request=Append(number=tail.agreement.view.number, mark=held, upto=one[-1].mark, entries=one)
         )
         middle.joining.needs_snapshot = False
         middle.joining._catch_up()
-        if middle.chain.synced != held:
+        if middle.chain.synced_index != held:
             yield "a member took entries of a hand-over"
 
 
@@ -515,7 +515,7 @@
 
 
 def _confirmed(*, core: Core, ahead: int = 0) -> ConfirmReply:
-    return ConfirmReply(granted=True, mark=core.chain.synced + ahead, view=None, sessions=[], untilUs=0)
+    return ConfirmReply(granted=True, mark=core.chain.synced_index + ahead, view=None, sessions=[], untilUs=0)
 
 
 def late_confirmation() -> Iterator[str]:
@@ -525,28 +525,28 @@
         core = _chain_cores(player=player)[0]
         replies = [(ms(300), _confirmed(core=core)), (ms(400), None)]
         core.chain.rpc_client = _Answers(host=core.host, replies=replies)
-        eventlet.spawn(core.chain._confirm_once)
+        eventlet.spawn(core.chain._confirm_with_tail)
         player.sleep(ms(100))
         # What its own task asks meanwhile gets no answer either.
-        if core.chain.confirm():
+        if core.chain.confirm_read():
             yield "a read confirmed by what was asked for before it began"
     with playing(members=3, seed=SEED) as player:
         core = _chain_cores(player=player)[0]
         core.chain.rpc_client = _Answers(host=core.host, replies=[(ZERO, _confirmed(core=core, ahead=5))])
-        if core.chain.confirm():
+        if core.chain.confirm_read():
             yield "a read confirmed for more than is held"
 
 
 def answers_of_a_former_view() -> Iterator[str]:
     with playing(members=3, seed=SEED) as player:
         head, middle, _ = _chain_cores(player=player)
-        write = Write(change={}, mark=50)
+        write = Write(change={}, index=50)
         head.chain.waiting = [write]
         head.chain.acknowledged = (head.agreement.view.number - 1, 99)
         head.chain._answer_acknowledged()
         if write.done.ready():
             yield "a change answered by an acknowledgement under a former view"
-        lost = Write(change={}, mark=50)
+        lost = Write(change={}, index=50)
         middle.chain.waiting = [lost]
         player.sleep(ms(300))
         if not lost.done.ready():
@@ -558,18 +558,18 @@
     with playing(members=3, seed=SEED) as player:
         head, middle, _ = _chain_cores(player=player)
         number = head.agreement.view.number
-        reply = Appended(state="acked", mark=head.chain.synced)
+        reply = Appended(state="acked", mark=head.chain.synced_index)
         head.chain.rpc_client = _Answers(host=head.host, replies=[(ms(50), reply)])
-        eventlet.spawn(head.chain._push)
+        eventlet.spawn(head.chain._push_to_successor)
         player.sleep(ms(20))
         head.agreement.store.view = dataclasses.replace(head.agreement.view, number=number + 1)
         head.chain.acknowledged = (number + 1, 0)
         player.sleep(ms(100))
-        if head.chain.acknowledged != (number + 1, 0) or head.chain.followed[0] == number + 1:
+        if head.chain.acknowledged != (number + 1, 0) or head.chain.successor_acked[0] == number + 1:
             yield "an acknowledgement under a former view counted under the present one"
         middle.chain.rpc_client = _Answers(host=middle.host, replies=[(ms(1), Appended(state="refused", mark=0))])
-        middle.chain.followed = (number - 1, middle.chain.synced)
-        request = Append(number=number, mark=middle.chain.synced, upto=middle.chain.synced, entries=[])
+        middle.chain.successor_acked = (number - 1, middle.chain.synced_index)
+        request = Append(number=number, mark=middle.chain.synced_index, upto=middle.chain.synced_index, entries=[])
         if middle.chain.on_append(request=request).state == "acked":
             yield "a member passed on what its successor acknowledged under a former view"
 
@@ -577,14 +577,14 @@
 def level_by_one_that_is_not() -> Iterator[str]:
     with playing(members=3, seed=SEED) as player:
         middle = _chain_cores(player=player)[1]
-        middle.store.level = False
+        middle.store.caught_up = False
         answers = middle.chain.rpc_client = _Answers(host=middle.host, replies=[])
         try:
-            middle.chain._push()
+            middle.chain._push_to_successor()
         except OSError:
             pass
         asks = [request for request in answers.asked if isinstance(request, Append)]
-        if asks[0].upto <= middle.chain.synced:
+        if asks[0].upto <= middle.chain.synced_index:
             yield "a member that is not level would bring its successor up"
 
 
@@ -592,7 +592,7 @@
     with playing(members=3, seed=SEED) as player:
         agreement = _core(player=player, place=1).agreement
         number = agreement.view.number
-        with agreement.extending:
+        with agreement.append_lock:
             eventlet.spawn(agreement.learn, view=_next(view=agreement.view))
             player.sleep(ms(100))
             if agreement.view.number != number:
@@ -610,7 +610,7 @@
         quiet = {first: ZERO, second: ZERO, third: 10 * SECOND}
 
         def voters(view: View, joiner: str | None, silent: dict[str, timedelta]) -> list[str] | None:
-            return agreement._voters(view=view, joiner=joiner, silent=silent)
+            return agreement._next_voters(view=view, joiner=joiner, silent=silent)
 
         if voters(short, "j", {**quiet, third: SECOND}) is not None:
             yield "a voter was replaced that was heard of"
--- a/tests/planted_faults/scenarios.py
+++ b/tests/planted_faults/scenarios.py
@@ -22,7 +22,7 @@
     """The machines in the order of the newest view's chain."""
     rows = [row for row in player.machines.agreements() if row[1].view is not None]
     view = max((agreement.view for _, agreement, _ in rows), key=lambda view: view.number)
-    by_disk = {agreement.me: place for place, agreement, _ in rows}
+    by_disk = {agreement.own_disk: place for place, agreement, _ in rows}
     return [by_disk[disk] for disk in view.chain]
 
 
@@ -204,7 +204,7 @@
             _put(player=player, base=1, control=control)
         player.world.cuts.clear()
         core = player.machines.core(place=mine)
-        while core.agreement.member():
+        while core.agreement.is_member():
             player.sleep(ms(1))
         player.machines.kill(place=mine, unsynced_lost=False)
         player.machines.start(place=mine)
@@ -244,7 +244,7 @@
 def chain_shrinks_under_a_write() -> Iterator[str]:
     """The disks of all but the head refuse an entry; the chain shrinks to the head, which alone has it."""
     # Both leave one after the other, and a head waits for a lease each time.
-    patient = mock.patch.object(chain_replica, "WRITE_LIMIT", 10 * SECOND)
+    patient = mock.patch.object(chain_replica, "WRITE_TIMEOUT", 10 * SECOND)
     with patient, playing(members=3, seed=1) as player:
         head, *others = _places(player=player)
         _fill(player=player, places=others)
@@ -263,7 +263,7 @@
         for _ in range(400):
             player.sleep(ms(20))
             if len(core.agreement.view.chain) == 2 and core.agreement.holds_lease():
-                newest = unpacked(core.chain.planned.config.tree["text"]).version
+                newest = unpacked(core.chain.tentative.config.tree["text"]).version
                 status = _put(player=player, base=newest, control=head)
                 if status == 200 and len(core.agreement.view.chain) == 2:
                     yield "acknowledged with two copies of three"
--- a/tests/standins/fleet.py
+++ b/tests/standins/fleet.py
@@ -93,7 +93,7 @@
                 core = Core(host=host, settings=settings)
                 protocol = platform_adapter.PlatformAdapter()
                 core.operator_api = OperatorApi(core=core, protocol=protocol).handle_http
-                core.duties.append(PhaseBalancer(core=core, deployment=deployment, protocol=protocol).run)
+                core.extra_tasks.append(PhaseBalancer(core=core, deployment=deployment, protocol=protocol).run)
                 return core
             return Edge(
                 host=host, settings=settings, deployment=deployment, protocol=platform_adapter.PlatformAdapter()
