--- a/dockmux/control/claims.py
+++ b/dockmux/control/claims.py
@@ -88,7 +88,7 @@
         return [[claim[0], key, claim[1]] for key, claim in found if claim is not None]
 
 
-def test_claims_are_dropped_by_the_slot_and_a_copy_sees_both_its_own_and_those_below():
+def test_claims_expire_by_slot_and_an_overlay_sees_its_own_and_the_base():
     claims = Claims(claim_retention=timedelta(hours=1))
     hour_us, slot_us = 3_600_000_000, claims.slot_us
     claims.add(at_us=1, key="old", holder="x")
@@ -108,7 +108,7 @@
     assert claims.holder(key="newer", now_us=hour_us + slot_us) == "z"
 
 
-def test_what_lies_over_others_stays_small():
+def test_an_overlay_stays_small():
     claims = Claims(claim_retention=timedelta(hours=1))
     overlay = claims.overlay()
     for n in range(3 * MAX_OVERLAY_CLAIMS):
--- a/dockmux/control/core.py
+++ b/dockmux/control/core.py
@@ -257,10 +257,10 @@
             return exchange.reply(status=200, fields={"mark": 0, "tree": None, "activate": None})
         if path.startswith("/explain/"):
             site = exchange.environ.get("QUERY_STRING", "").removeprefix("site=")
-            told = explain(tree=state.config.tree, lane=path[9:], site=site) if state.config else None
-            if told is None:
+            explained = explain(tree=state.config.tree, lane=path[9:], site=site) if state.config else None
+            if explained is None:
                 return exchange.conclude(outcome=Outcome(kind=OutcomeKind.UNKNOWN_LANE, detail={"lane": path[9:]}))
-            return exchange.reply(status=200, fields={"mark": state.config.mark, "lane": path[9:], "values": told})
+            return exchange.reply(status=200, fields={"mark": state.config.mark, "lane": path[9:], "values": explained})
         wanted = path[8:] or str(state.config.mark)
         for config in state.configs:
             if str(config.mark) == wanted:
@@ -293,9 +293,9 @@
             return Outcome(
                 kind=OutcomeKind.MARK_MISSING, detail={"why": "send If-Match with the mark you started from"}
             )
-        wrong = validate(tree=tree)
-        if wrong:
-            return Outcome(kind=OutcomeKind.INVALID, detail={"errors": wrong})
+        errors = validate(tree=tree)
+        if errors:
+            return Outcome(kind=OutcomeKind.INVALID, detail={"errors": errors})
         based_on = self._based_on(exchange=exchange)
         return self.chain.write(change={"kind": "config", "tree": tree, "based_on": based_on})
 
@@ -303,27 +303,27 @@
         listed = self._body(exchange=exchange)
         if isinstance(listed, Outcome):
             return listed
-        wrong = schemas.errors(name="engines", value=listed)
-        if not wrong:
+        errors = schemas.errors(name="engines", value=listed)
+        if not errors:
             names = [engine["engine"] for engine in listed["engines"]]
-            wrong = [
+            errors = [
                 {"path": f"$.engines[{place}].engine", "error": f"{name!r} is listed twice"}
                 for place, name in enumerate(names)
                 if name in names[:place]
             ]
-        if wrong:
-            return Outcome(kind=OutcomeKind.INVALID, detail={"errors": wrong})
+        if errors:
+            return Outcome(kind=OutcomeKind.INVALID, detail={"errors": errors})
         change = {"kind": "engines", "engines": listed["engines"]}
         if exchange.header(name="If-Match"):
             change["based_on"] = self._based_on(exchange=exchange)
         return self.chain.write(change=change)
 
     def _values(self) -> dict[str, float]:
-        told = self.status()
-        counted = {"chain": len(told["chain"]), "members": len(told["members"])}
-        kept = ("permit", "ailing", "mark", "synced", "config", "engines", "claims", "tasks_failed")
+        status = self.status()
+        counts = {"chain": len(status["chain"]), "members": len(status["members"])}
+        copied = ("permit", "ailing", "mark", "synced", "config", "engines", "claims", "tasks_failed")
         bound = {"clock_bound_seconds": self.gossip.clock.bound().total_seconds()}
-        return {"view": told["view"] or 0, **{key: told[key] for key in kept}, **counted, **bound}
+        return {"view": status["view"] or 0, **{key: status[key] for key in copied}, **counts, **bound}
 
     def status(self) -> dict[str, Any]:
         agreement, chain = self.agreement, self.chain
--- a/dockmux/control/engine_scheduler.py
+++ b/dockmux/control/engine_scheduler.py
@@ -173,7 +173,7 @@
             self.host.log(LogEvent.ORDERED, engine=move.engine["engine"], phase=move.phase, mark=mark)
 
 
-def test_an_engine_is_moved_only_from_a_phase_with_slots_to_spare_to_a_pressed_or_empty_one():
+def test_an_engine_moves_only_from_a_phase_with_spare_slots_to_an_overloaded_or_empty_one():
     engines = [{"engine": name} for name in "abc"]
 
     def moved(**busy: tuple[str, float]) -> tuple[str, str] | None:
--- a/dockmux/control/joining.py
+++ b/dockmux/control/joining.py
@@ -130,11 +130,11 @@
             request = JoinAsk(disk=self.agreement.own_disk, mark=state.mark, fresh=True, part=number)
             reply = self.rpc_client.call(address=address, request=request, wait=JOIN_TIMEOUT)
             self.agreement.learn(view=reply.view)
-            told = reply.snapshot
-            if told is None or told["part"] != number or (number and told["mark"] != state.mark):
+            part = reply.snapshot
+            if part is None or part["part"] != number or (number and part["mark"] != state.mark):
                 return None
-            state.restore(fields=told)
-            number, parts = number + 1, told["parts"]
+            state.restore(fields=part)
+            number, parts = number + 1, part["parts"]
         return state
 
     def on_join(self, *, request: JoinAsk) -> JoinReply:
--- a/tests/broken_pool_test.py
+++ b/tests/broken_pool_test.py
@@ -14,7 +14,7 @@
 import pytest
 
 from dockmux.runtime.daemon import EXIT_DISK_SILENT
-from tests.control.cores import text_of
+from tests.control.core_cluster import config_text
 
 ROOT = Path(__file__).resolve().parent.parent
 START_LIMIT_S = 20
@@ -52,7 +52,7 @@
 
 def put(*, address: str, version: int) -> int:
     request = urllib.request.Request(
-        f"http://{address}/dockmux/config/put", data=text_of(version=version), method="POST",
+        f"http://{address}/dockmux/config/put", data=config_text(version=version), method="POST",
         headers={"Content-Type": "application/json", "X-Base-Version": str(version - 1)},
     )  # fmt: skip
     try:
--- a/tests/control/growth_figures.py
+++ b/tests/control/growth_figures.py
@@ -1,7 +1,7 @@
-"""Figures of a control daemon's disk after many changes: `python -m tests.control.growth_figures FOLDER COUNT...`.
+"""Measures a control daemon's storage after many changes: `python -m tests.control.growth_figures FOLDER COUNT...`.
 
-Each count of changes, with trees of 250 KB, goes through the real store on a real folder: the sizes of the file and
-of a snapshot, the longest rewrite, the time to start again, and the time to pack, send and take in a snapshot.
+For each count, so many changes with trees of 250 KB go through the real store in a real folder. Reports the sizes of
+the file and of a snapshot, the longest rewrite, the restart time, and the time to encode, decode and apply a snapshot.
 """
 
 import argparse
@@ -25,7 +25,7 @@
 
 
 class _QuietHost(Host):
-    """A real machine without a log."""
+    """A real host that logs nothing."""
 
     def log(self, log_event: LogEvent, **fields: Any) -> None:
         return
@@ -45,7 +45,7 @@
 
 
 def _fill(*, store: ReplicaStore, count: int) -> tuple[State, float]:
-    """The state after so many changes, and the longest rewrite in seconds."""
+    """The state after `count` changes, and the longest rewrite in seconds."""
     state, longest = store.initial_state, 0.0
     for number in range(1, count + 1):
         change = _change(number=number)
@@ -57,8 +57,8 @@
     return state, longest
 
 
-def _hand_over(*, state: State) -> tuple[int, float]:
-    """Bytes and seconds of a snapshot from one core to another, without the network."""
+def _transfer_snapshot(*, state: State) -> tuple[int, float]:
+    """The bytes and seconds of a snapshot transfer from one core to another, without the network."""
     began, size = time.perf_counter(), 0
     other = State(claim_retention=KEEP)
     for part in state.snapshot().all_parts():
@@ -79,11 +79,11 @@
         again.initial_state.apply(mark=entry.mark, change=entry.change)
     restart = time.perf_counter() - began
     assert again.initial_state.versions == state.versions
-    snapshot_size, handed = _hand_over(state=state)
+    snapshot_size, transfer_time = _transfer_snapshot(state=state)
     shutil.rmtree(folder)
     return {
         "changes": count, "file_mb": file_size / 1e6, "snapshot_mb": snapshot_size / 1e6,
-        "longest_rewrite_s": longest, "restart_s": restart, "hand_over_s": handed,
+        "longest_rewrite_s": longest, "restart_s": restart, "hand_over_s": transfer_time,
     }  # fmt: skip
 
 
--- a/tests/control/membership_test.py
+++ b/tests/control/membership_test.py
@@ -1,4 +1,4 @@
-"""Members that leave, come back, miss a view, or are lost right after a repair."""
+"""Membership changes: members that leave, rejoin, miss a view, or are lost right after a repair."""
 
 from typing import Any
 
@@ -6,189 +6,201 @@
 
 from dockmux.control.view_agreement import ViewAgreement
 from dockmux.runtime.messages import View
-from tests.control.cores import SECOND, Cores, cores, text_of
+from tests.control.core_cluster import SECOND, CoreCluster, config_text, core_cluster
 
 
-def _miss_next_view(*, made: Cores, name: str) -> None:
-    """This daemon does not take over the next view, as when its news are lost; it learns the one after it."""
-    agreement = made.daemons[name].agreement
+def _miss_next_view(*, cluster: CoreCluster, name: str) -> None:
+    """This daemon does not adopt the next view, as if the announcement were lost; it learns the one after it."""
+    agreement = cluster.daemons[name].agreement
     missed = agreement.view.number + 1
     learn = agreement.learn
 
-    def learn_others(*, view: View | None) -> None:
+    def learn_unless_missed(*, view: View | None) -> None:
         if view is None or view.number != missed:
             learn(view=view)
 
-    agreement.learn = learn_others
+    agreement.learn = learn_unless_missed
 
 
-def _lose_the_head_after_a_repair(*, made: Cores) -> int:
-    """The tail is left out and comes back, the second member misses the view between; the moment that it learns the
-    next one, the head is lost for good. The status of the next order."""
-    head, second, *_, tail = made.chain()
-    number = made.daemons[head].agreement.view.number
-    _miss_next_view(made=made, name=second)
-    made.kill(name=tail)
-    assert made.wait_until(what=lambda: tail not in made.chain(), limit=6 * SECOND)
-    made.start(name=tail)
-    follower = made.daemons[second].agreement
-    assert made.wait_until(what=lambda: follower.view.number == number + 2, limit=6 * SECOND)
-    made.kill(name=head)
-    return made.operator.put(text=text_of(version=2), base=1, control=made.place(name=second), limit=12 * SECOND)
+def _lose_the_head_after_a_repair(*, cluster: CoreCluster) -> int:
+    """The tail is removed and rejoins, and the second member misses the view in between. As soon as it learns the next
+    view, the head is lost for good. Returns the status of the next change."""
+    head, second, *_, tail = cluster.chain()
+    number = cluster.daemons[head].agreement.view.number
+    _miss_next_view(cluster=cluster, name=second)
+    cluster.kill(name=tail)
+    assert cluster.wait_until(condition=lambda: tail not in cluster.chain(), limit=6 * SECOND)
+    cluster.start(name=tail)
+    follower = cluster.daemons[second].agreement
+    assert cluster.wait_until(condition=lambda: follower.view.number == number + 2, limit=6 * SECOND)
+    cluster.kill(name=head)
+    return cluster.operator.put(
+        text=config_text(version=2), base=1, control=cluster.operator_index(name=second), limit=12 * SECOND
+    )
 
 
 @pytest.mark.parametrize("seed", range(41, 44))
-def test_a_second_loss_right_after_a_repair_leaves_a_majority_that_goes_on(seed: int):
-    with cores(seed=seed, count=5, survive=2) as made:
-        assert _lose_the_head_after_a_repair(made=made) == 200
-        made.sound()
+def test_a_second_loss_right_after_a_repair_leaves_a_working_majority(seed: int):
+    with core_cluster(seed=seed, count=5, survive=2) as cluster:
+        assert _lose_the_head_after_a_repair(cluster=cluster) == 200
+        cluster.assert_no_failures()
 
 
-def test_without_the_memory_of_who_stayed_the_second_loss_would_end_it(monkeypatch: pytest.MonkeyPatch):
+def test_without_the_join_history_the_second_loss_ends_service(monkeypatch: pytest.MonkeyPatch):
     def stays_level(self: ViewAgreement, *, view: View) -> bool:
         old = self.view
         known = old is not None and view.number == old.number + 1 and self.own_disk in old.chain
         return view.number == 1 or (self.store.caught_up and known)
 
     monkeypatch.setattr(ViewAgreement, "_stays_caught_up", stays_level)
-    with cores(seed=41, count=5, survive=2) as made:
-        assert _lose_the_head_after_a_repair(made=made) == 0
+    with core_cluster(seed=41, count=5, survive=2) as cluster:
+        assert _lose_the_head_after_a_repair(cluster=cluster) == 0
 
 
-def test_no_view_is_proposed_whose_head_does_not_hold_everything():
-    """Five, of which only the head and a joiner that is not level yet are in the chain, and the head goes."""
-    with cores(seed=46, count=5, survive=2) as made:
-        names = made.chain()
-        disks = [made.daemons[name].store.disk for name in names]
-        view = made.daemons[names[0]].agreement.view
+def test_no_view_is_proposed_whose_head_lacks_entries():
+    """Guards against a head that lacks acknowledged entries. In a plane of five, the chain is the head and a joiner
+    that is not caught up yet, and the head is lost."""
+    with core_cluster(seed=46, count=5, survive=2) as cluster:
+        names = cluster.chain()
+        disks = [cluster.daemons[name].store.disk for name in names]
+        view = cluster.daemons[names[0]].agreement.view
         short = View(
             number=view.number + 1, chain=disks[:2], voters=view.voters, joined={disks[0]: 1, disks[1]: view.number + 1}
         )  # fmt: skip
-        made.kill(name=names[0])
+        cluster.kill(name=names[0])
         for name in names[1:]:
-            made.daemons[name].agreement.learn(view=short)
-        made.sleep(seconds=8)
-        # The only full copy is on the lost member's disk: nobody goes on without it, and once it is back all is well.
-        assert all(made.daemons[name].agreement.view.number == short.number for name in names[1:])
-        made.start(name=names[0])
-        assert made.operator.put(text=text_of(version=2), base=1, limit=20 * SECOND) == 200
-        made.sound()
+            cluster.daemons[name].agreement.learn(view=short)
+        cluster.sleep(seconds=8)
+        # The only complete copy is on the lost member's disk: service stops until it is back.
+        assert all(cluster.daemons[name].agreement.view.number == short.number for name in names[1:])
+        cluster.start(name=names[0])
+        assert cluster.operator.put(text=config_text(version=2), base=1, limit=20 * SECOND) == 200
+        cluster.assert_no_failures()
 
 
-# Planned leaves.
+# Planned stops.
 
 
-def _drain(*, made: Cores, name: str) -> int:
-    """What a daemon that was told to stop still waits for."""
-    return made.daemons[name].drain()
+def _drain(*, cluster: CoreCluster, name: str) -> int:
+    """Asks a daemon to stop; returns how many things it still waits for."""
+    return cluster.daemons[name].drain()
 
 
 @pytest.mark.parametrize("place", [0, 1, 2])
-def test_a_member_that_is_told_to_stop_leaves_by_agreement_before_it_goes(place: int):
-    with cores(seed=50 + place) as made:
-        leaving = made.chain()[place]
-        began = made.world.now()
-        assert made.wait_until(what=lambda: _drain(made=made, name=leaving) == 0, limit=7 * SECOND)
-        assert made.world.now() - began < 1.5 * SECOND
-        assert leaving not in made.chain() and len(made.chain()) == 2
-        made.kill(name=leaving)
-        others = [name for name in made.names if name != leaving]
-        began = made.world.now()
-        assert made.operator.put(text=text_of(version=2), base=1, control=made.place(name=others[0])) == 200
-        assert made.world.now() - began < 3 * SECOND
-        made.start(name=leaving)
-        assert made.wait_until(what=made.whole, limit=6 * SECOND)
-        assert made.get(name=leaving) == (200, 2)
-        made.sound()
-
-
-def test_a_member_without_which_too_few_copies_remain_stays_as_long_as_it_may():
-    with cores(seed=55) as made:
-        head, middle, tail = made.chain()
-        made.kill(name=tail)
-        assert made.wait_until(what=lambda: len(made.chain()) == 2, limit=6 * SECOND)
+def test_a_stopping_member_leaves_the_chain_by_a_new_view(place: int):
+    with core_cluster(seed=50 + place) as cluster:
+        leaving = cluster.chain()[place]
+        began = cluster.world.now()
+        assert cluster.wait_until(condition=lambda: _drain(cluster=cluster, name=leaving) == 0, limit=7 * SECOND)
+        assert cluster.world.now() - began < 1.5 * SECOND
+        assert leaving not in cluster.chain() and len(cluster.chain()) == 2
+        cluster.kill(name=leaving)
+        others = [name for name in cluster.names if name != leaving]
+        began = cluster.world.now()
+        assert (
+            cluster.operator.put(text=config_text(version=2), base=1, control=cluster.operator_index(name=others[0]))
+            == 200
+        )
+        assert cluster.world.now() - began < 3 * SECOND
+        cluster.start(name=leaving)
+        assert cluster.wait_until(condition=cluster.all_caught_up, limit=6 * SECOND)
+        assert cluster.get(name=leaving) == (200, 2)
+        cluster.assert_no_failures()
+
+
+def test_a_stopping_member_stays_while_too_few_copies_would_remain():
+    with core_cluster(seed=55) as cluster:
+        head, middle, tail = cluster.chain()
+        cluster.kill(name=tail)
+        assert cluster.wait_until(condition=lambda: len(cluster.chain()) == 2, limit=6 * SECOND)
         for _ in range(40):
-            assert _drain(made=made, name=middle) > 0
-            made.sleep(seconds=0.1)
-        assert made.put(version=2, base=1, control=made.place(name=head)) == 200
-        # Once another has come in, it may go.
-        made.start(name=tail)
-        assert made.wait_until(what=lambda: _drain(made=made, name=middle) == 0, limit=8 * SECOND)
-        assert middle not in made.chain() and len(made.chain()) == 2
-        made.sound()
+            assert _drain(cluster=cluster, name=middle) > 0
+            cluster.sleep(seconds=0.1)
+        assert cluster.put(version=2, base=1, control=cluster.operator_index(name=head)) == 200
+        # Once another member has joined, it may stop.
+        cluster.start(name=tail)
+        assert cluster.wait_until(condition=lambda: _drain(cluster=cluster, name=middle) == 0, limit=8 * SECOND)
+        assert middle not in cluster.chain() and len(cluster.chain()) == 2
+        cluster.assert_no_failures()
 
 
-def test_where_all_are_told_to_stop_nobody_waits():
-    with cores(seed=56) as made:
-        names = made.chain()
-        began = made.world.now()
+def test_members_that_all_stop_do_not_wait():
+    with core_cluster(seed=56) as cluster:
+        names = cluster.chain()
+        began = cluster.world.now()
 
-        def all_may_go() -> bool:
-            return sum(_drain(made=made, name=name) for name in names) == 0
+        def all_may_stop() -> bool:
+            return sum(_drain(cluster=cluster, name=name) for name in names) == 0
 
-        assert made.wait_until(what=all_may_go, limit=7 * SECOND)
-        assert made.world.now() - began < 2 * SECOND
+        assert cluster.wait_until(condition=all_may_stop, limit=7 * SECOND)
+        assert cluster.world.now() - began < 2 * SECOND
 
 
-def test_members_that_come_in_at_once_get_their_snapshots_side_by_side():
-    with cores(seed=57, count=5, survive=2) as made:
+def test_members_that_join_at_once_get_their_snapshots_concurrently():
+    with core_cluster(seed=57, count=5, survive=2) as cluster:
         for version in range(2, 40):
-            assert made.operator.put(text=text_of(version=version), base=version - 1) == 200
-        wiped = made.chain()[3:]
+            assert cluster.operator.put(text=config_text(version=version), base=version - 1) == 200
+        wiped = cluster.chain()[3:]
         for name in wiped:
-            made.wipe(name=name)
+            cluster.wipe(name=name)
         for name in wiped:
-            made.start(name=name)
-        began = made.world.now()
-        assert made.wait_until(what=made.whole, limit=12 * SECOND)
-        assert made.world.now() - began < 8 * SECOND
-        made.sound()
+            cluster.start(name=name)
+        began = cluster.world.now()
+        assert cluster.wait_until(condition=cluster.all_caught_up, limit=12 * SECOND)
+        assert cluster.world.now() - began < 8 * SECOND
+        cluster.assert_no_failures()
 
 
-def _replaced(*, made: Cores, name: str) -> Any:
-    fresh = made.daemons[name].agreement
-    return fresh.own_disk
+def _disk_identity(*, cluster: CoreCluster, name: str) -> Any:
+    agreement = cluster.daemons[name].agreement
+    return agreement.own_disk
 
 
 def test_a_replaced_member_never_counts_under_two_identities():
-    """A machine that lost its disk has another identity: the former one's votes, seat and copy are not its own."""
-    with cores(seed=58) as made:
-        head, middle, tail = made.chain()
-        former = _replaced(made=made, name=tail)
-        made.wipe(name=tail)
-        made.start(name=tail)
-        assert made.wait_until(what=made.whole, limit=12 * SECOND)
-        view = made.daemons[head].agreement.view
-        present = _replaced(made=made, name=tail)
+    """Guards against counting votes or copies that were lost with a disk. A machine that lost its disk gets a new
+    identity, and the previous one's votes, place and copy are not its own."""
+    with core_cluster(seed=58) as cluster:
+        head, middle, tail = cluster.chain()
+        former = _disk_identity(cluster=cluster, name=tail)
+        cluster.wipe(name=tail)
+        cluster.start(name=tail)
+        assert cluster.wait_until(condition=cluster.all_caught_up, limit=12 * SECOND)
+        view = cluster.daemons[head].agreement.view
+        present = _disk_identity(cluster=cluster, name=tail)
         assert former != present and former not in [*view.chain, *view.voters]
         assert sorted(view.voters) == sorted(view.chain) and len(view.voters) == 3
-        made.sound()
+        cluster.assert_no_failures()
 
 
 @pytest.mark.parametrize("how", ["wiped", "replaced"])
 @pytest.mark.parametrize("place", [0, 1, 2])
-def test_a_second_loss_at_the_moment_it_is_allowed_finds_a_majority(how: str, place: int):
-    """A machine is lost for good, an empty one comes a second later, and `sync_s` after its start another one is lost
-    for good: the two that are left agree and go on."""
-    with cores(seed=80 + place) as made:
-        names = made.chain()
+def test_a_second_loss_after_the_sync_time_leaves_a_majority(how: str, place: int):
+    """A machine is lost for good, an empty one replaces it a second later, and `sync_s` after its start a second
+    machine is lost for good. The remaining two must agree on a view and continue."""
+    with core_cluster(seed=80 + place) as cluster:
+        names = cluster.chain()
         lost, second = names[place], names[(place + 1) % 3]
         if how == "wiped":
-            made.wipe(name=lost)
-            made.sleep(seconds=1)
-            made.start(name=lost)
+            cluster.wipe(name=lost)
+            cluster.sleep(seconds=1)
+            cluster.start(name=lost)
             back = lost
         else:
-            made.kill(name=lost)
-            made.sleep(seconds=1)
+            cluster.kill(name=lost)
+            cluster.sleep(seconds=1)
             back = "core-9"
-            made.replace(name=lost, fresh=back, ip="10.1.0.9")
-            made.operator.controls[made.operator.controls.index(f"{made.ip(name=lost)}:8166")] = "10.1.0.9:8166"
-        made.sleep(seconds=4)
-        made.wipe(name=second)
+            cluster.replace(name=lost, fresh=back, ip="10.1.0.9")
+            cluster.operator.controls[cluster.operator.controls.index(f"{cluster.ip(name=lost)}:8166")] = (
+                "10.1.0.9:8166"
+            )
+        cluster.sleep(seconds=4)
+        cluster.wipe(name=second)
         assert (
-            made.operator.put(text=text_of(version=2), base=1, control=made.place(name=back), limit=8 * SECOND) == 200
+            cluster.operator.put(
+                text=config_text(version=2), base=1, control=cluster.operator_index(name=back), limit=8 * SECOND
+            )
+            == 200
         )
         left = next(name for name in names if name not in (lost, second))
-        assert sorted(made.chain()) == sorted([left, back])
-        made.sound()
+        assert sorted(cluster.chain()) == sorted([left, back])
+        cluster.assert_no_failures()
--- a/tests/control/record_log_rewrite_test.py
+++ b/tests/control/record_log_rewrite_test.py
@@ -1,4 +1,4 @@
-"""A rewrite of a log that fails between its rename and the sync of the folder."""
+"""A rewrite of the record log that fails between the rename and the sync of the folder."""
 
 import errno
 
@@ -9,7 +9,7 @@
 
 
 class HalfFailingFolder:
-    """A folder in which a replacement reaches its name, and the sync of the folder then fails."""
+    """A folder in which a replacement is renamed into place, and the sync of the folder then fails."""
 
     def __init__(self) -> None:
         self.files: dict[str, bytes] = {}
@@ -33,8 +33,9 @@
     cut = make_durable
 
 
-def test_a_rewrite_whose_folder_could_not_be_synced_leaves_no_gap():
-    """Guards against a log that the next start finds damaged (exit 3)."""
+def test_a_rewrite_whose_directory_sync_fails_leaves_no_gap():
+    """Guards against a log that the next start reports as damaged (exit code 3). It arose when records were appended at
+    the old file's offset although the new file was already in place."""
     folder, host = HalfFailingFolder(), StillHost()
     log = RecordLog(host=host, folder=folder, name="log")
     log.rewrite(records=[{"n": number, "text": "x" * 50} for number in range(9)])
--- a/tests/control/record_log_test.py
+++ b/tests/control/record_log_test.py
@@ -1,4 +1,4 @@
-"""The append-only file: torn writes, damage, and what a killed process left unsynced."""
+"""The append-only record log: torn writes, damage, and records that a killed process left unsynced."""
 
 import random
 from datetime import timedelta
@@ -9,7 +9,7 @@
 from dockmux.runtime.record_log import RecordLog, RecordLogDamaged, batch_line, line, parse
 
 
-def test_every_prefix_of_a_file_gives_the_whole_records_before_it():
+def test_every_prefix_of_a_file_yields_its_complete_records():
     records = [{"n": n, "text": "x\\n" * n} for n in range(5)]
     lines = [line(record=record) for record in records]
     data = b"".join(lines)
@@ -19,7 +19,7 @@
         assert parse(data=data[:cut]) == (records[:whole], ends[whole])
 
 
-def test_damage_in_the_middle_is_not_read_past():
+def test_damage_in_the_middle_is_reported_at_its_offset():
     lines = [line(record={"n": n}) for n in range(3)]
     for place in range(len(lines[0]), len(lines[0]) + len(lines[1])):
         data = bytearray(b"".join(lines))
@@ -32,8 +32,9 @@
         raise AssertionError(place)
 
 
-def test_records_that_were_written_at_once_are_lost_at_once():
-    """A torn write may lose any of its parts: no record of it is then damage in the middle of the file."""
+def test_a_torn_batch_is_lost_as_a_whole():
+    """A torn write may lose any part of a batch. The whole batch must then be dropped, not reported as damage in the
+    middle of the file."""
     first = line(record={"n": 0})
     batch = batch_line(records=[{"n": n, "text": "x" * 50} for n in range(1, 6)])
     whole = first + batch
@@ -43,8 +44,8 @@
         assert parse(data=torn) == ([{"n": 0}], len(first)), place
 
 
-class _NoHost(Host):
-    """A host without a machine."""
+class _NullHost(Host):
+    """A host that does nothing."""
 
     def __init__(self) -> None:
         self.random = random.Random(1)
@@ -57,7 +58,7 @@
 
 
 class _CachedFolder:
-    """A folder with a page cache. Invariant: `durable` is what a loss of power leaves, `files` what is read now."""
+    """A folder with a page cache. Invariant: `durable` is what survives a power loss, `files` what is read now."""
 
     def __init__(self, *, files: dict[str, bytes]) -> None:
         self.files = dict(files)
@@ -74,20 +75,20 @@
         self.append(name=name, data=b"", offset=size)
 
 
-def test_what_a_killed_process_left_in_the_cache_counts_only_once_it_is_synced():
+def test_records_left_unsynced_by_a_killed_process_are_synced_on_load():
     synced = line(record={"n": 0})
     folder = _CachedFolder(files={"log": synced})
-    folder.files["log"] += line(record={"n": 1})  # Written, and the process was killed before its sync.
-    found = RecordLog(host=_NoHost(), folder=folder, name="log").load()
+    folder.files["log"] += line(record={"n": 1})  # Written by a process that was killed before the sync.
+    found = RecordLog(host=_NullHost(), folder=folder, name="log").load()
     after_power_loss, _ = parse(data=folder.durable["log"])
     assert found == after_power_loss == [{"n": 0}, {"n": 1}]
 
 
-def test_damage_is_reported_and_nothing_is_cut_off():
+def test_damage_is_reported_and_nothing_is_truncated():
     whole = line(record={"n": 0}) + line(record={"n": 1})
     folder = _CachedFolder(files={"log": b"x" + whole[1:]})
     try:
-        RecordLog(host=_NoHost(), folder=folder, name="log").load()
+        RecordLog(host=_NullHost(), folder=folder, name="log").load()
     except RecordLogDamaged:
         assert folder.files["log"] == b"x" + whole[1:]
         return
--- a/tests/control/replica_store_test.py
+++ b/tests/control/replica_store_test.py
@@ -1,4 +1,4 @@
-"""A control daemon's disk: power cuts at every step of a rewrite, and damage."""
+"""Storage of a control daemon: power loss at every step of a rewrite, and damaged files."""
 
 import random
 from datetime import timedelta
@@ -11,17 +11,17 @@
 from dockmux.runtime.record_log import RecordLogDamaged
 
 
-class _PowerCut(Exception):
-    """The machine is gone."""
+class _PowerLoss(Exception):
+    """The machine lost power."""
 
 
-class _CutFolder:
-    """A folder on a disk whose power goes at a step of a rewrite. Invariant: `files` is what is found afterwards."""
+class _PowerLossFolder:
+    """A folder that loses power at the step `fails_at` of a rewrite. Invariant: `files` is what is found afterwards."""
 
-    def __init__(self, *, files: dict[str, bytes], cut_at: str = "", moved: bool = True) -> None:
+    def __init__(self, *, files: dict[str, bytes], fails_at: str = "", rename_visible: bool = True) -> None:
         self.files = files
-        self.cut_at = cut_at
-        self.moved = moved
+        self.fails_at = fails_at
+        self.rename_visible = rename_visible
 
     def read(self, *, name: str) -> bytes | None:
         return self.files.get(name)
@@ -39,18 +39,18 @@
             "half written": {name + ".new": data[: len(data) // 2]},
             "before its sync": {name + ".new": b"\0" * len(data)},
             "before the renaming": {name + ".new": data},
-            # Until the folder is synced, either name may be found.
-            "before the folder's sync": {name: data} if self.moved else {name + ".new": data},
+            # Until the folder is synced, either name may be found after the power loss.
+            "before the folder's sync": {name: data} if self.rename_visible else {name + ".new": data},
             "after it": {name: data},
         }
-        if self.cut_at:
-            self.files |= steps[self.cut_at]
-            raise _PowerCut
+        if self.fails_at:
+            self.files |= steps[self.fails_at]
+            raise _PowerLoss
         self.files[name] = data
 
 
-class _Desk(Host):
-    """A host without a machine."""
+class _NullHost(Host):
+    """A host that does nothing."""
 
     def __init__(self) -> None:
         self.name = "desk"
@@ -63,13 +63,13 @@
         return
 
 
-def _vault(*, folder: Any) -> ReplicaStore:
-    store = ReplicaStore(host=_Desk(), folder=folder, claim_retention=timedelta(hours=24))
+def _open_store(*, folder: Any) -> ReplicaStore:
+    store = ReplicaStore(host=_NullHost(), folder=folder, claim_retention=timedelta(hours=24))
     store.open()
     return store
 
 
-def _holds(*, store: ReplicaStore) -> Any:
+def _contents(*, store: ReplicaStore) -> Any:
     state = store.initial_state
     for entry in store.entries:
         state.apply(mark=entry.mark, change=entry.change)
@@ -77,16 +77,16 @@
     return store.disk, store.view, store.caught_up, store.promised, store.accepted, state.mark, state.config, claims
 
 
-def test_a_power_cut_at_any_step_of_a_rewrite_of_either_file_loses_nothing():
+def test_power_loss_at_any_step_of_a_rewrite_loses_nothing():
     view = View(number=3, chain=["a"], voters=["a"])
-    filled = _CutFolder(files={})
-    store = _vault(folder=filled)
+    filled = _PowerLossFolder(files={})
+    store = _open_store(folder=filled)
     store.vote(view=view, level=True)
     store.vote(promised={"number": 4, "ballot": 2, "proposer": "b"})
     change = {"kind": "config", "tree": {"a": 1}, "activateUs": 5}
     claims = [{"kind": "claim", "key": f"k{n}", "holder": "h", "atUs": n * 10**9} for n in range(50)]
     store.append(entries=[Entry(mark=n + 1, change=c) for n, c in enumerate([change, *claims])])
-    wanted = _holds(store=_vault(folder=_CutFolder(files=dict(filled.files))))
+    wanted = _contents(store=_open_store(folder=_PowerLossFolder(files=dict(filled.files))))
     assert wanted[5] == 51 and len(wanted[7]) == 50
     steps = (
         "before the new file",
@@ -95,26 +95,26 @@
         "before the renaming",
         "before the folder's sync",
     )
-    for step, moved in [(step, True) for step in (*steps, "after it")] + [(steps[-1], False)]:
+    for step, rename_visible in [(step, True) for step in (*steps, "after it")] + [(steps[-1], False)]:
         for file in ("votes", "chain"):
-            folder = _CutFolder(files=dict(filled.files))
-            cut = _vault(folder=folder)
-            state = cut.initial_state
-            for entry in cut.entries[:30]:
+            folder = _PowerLossFolder(files=dict(filled.files))
+            interrupted = _open_store(folder=folder)
+            state = interrupted.initial_state
+            for entry in interrupted.entries[:30]:
                 state.apply(mark=entry.mark, change=entry.change)
-            folder.cut_at, folder.moved = step, moved
+            folder.fails_at, folder.rename_visible = step, rename_visible
             try:
-                cut._rewrite_votes() if file == "votes" else cut.reset(state=state)
-            except _PowerCut:
-                again = _vault(folder=_CutFolder(files=dict(folder.files)))
-                assert _holds(store=again) == wanted, (step, file)
+                interrupted._rewrite_votes() if file == "votes" else interrupted.reset(state=state)
+            except _PowerLoss:
+                again = _open_store(folder=_PowerLossFolder(files=dict(folder.files)))
+                assert _contents(store=again) == wanted, (step, file)
                 continue
             raise AssertionError(step)
 
 
-def test_votes_without_a_whole_chain_are_damage():
-    filled = _CutFolder(files={})
-    store = _vault(folder=filled)
+def test_votes_without_a_complete_chain_file_are_damage():
+    filled = _PowerLossFolder(files={})
+    store = _open_store(folder=filled)
     claims = [{"kind": "claim", "key": f"k{n}", "holder": "h", "atUs": n * 10**9} for n in range(2000)]
     state = store.initial_state
     for n, c in enumerate(claims):
@@ -125,7 +125,7 @@
     for chain in (None, b"", b"".join(lines[:-1]), lines[0][:40]):
         files = {"votes": filled.files["votes"]} | ({} if chain is None else {"chain": chain})
         try:
-            _vault(folder=_CutFolder(files=files))
+            _open_store(folder=_PowerLossFolder(files=files))
         except RecordLogDamaged:
             continue
         raise AssertionError(chain)
--- a/tests/control/state_test.py
+++ b/tests/control/state_test.py
@@ -1,4 +1,4 @@
-"""What the chain holds: folding, snapshots in parts, and the record of taken versions."""
+"""The replicated state: applying changes, snapshots in parts, and the log of accepted versions."""
 
 from datetime import timedelta
 
--- a/tests/control/version_log_test.py
+++ b/tests/control/version_log_test.py
@@ -1,4 +1,4 @@
-"""The record of taken versions: look-ups across blocks, what falls out, and snapshots of it."""
+"""The log of accepted versions: look-ups across blocks, dropped blocks, and snapshots of it."""
 
 from datetime import timedelta
 
@@ -38,14 +38,14 @@
     assert log.built_on(number=4) is None
 
 
-def test_the_oldest_block_falls_out_and_is_known_to_have(small_blocks: None):
+def test_the_oldest_block_is_dropped_and_marked_as_forgotten(small_blocks: None):
     log = _filled(numbers=range(1, 21))
     assert log.forgotten_upto == 8 and len(log) == 12
     assert log.taken(number=8) is None and log.taken(number=9).number == 9
     assert log.built_on(number=8).number == 9 and log.built_on(number=7) is None
 
 
-def test_a_log_is_not_changed_by_what_is_added_to_a_copy(small_blocks: None):
+def test_appending_does_not_change_the_original_log(small_blocks: None):
     log = _filled(numbers=range(1, 6))
     longer = log.append(number=6, digest=_digest(number=6))
     other = log.append(number=7, digest=_digest(number=7))
@@ -53,13 +53,13 @@
     assert longer.taken(number=7) is None and other.taken(number=6) is None
 
 
-def test_a_number_that_does_not_rise_has_all_before_it_forgotten():
+def test_a_number_that_does_not_increase_forgets_all_earlier_versions():
     log = _filled(numbers=range(1, 6)).append(number=5, digest=_digest(number=9))
     assert len(log) == 0 and log.forgotten_upto == 5
     assert log.append(number=6, digest=_digest(number=6)).taken(number=6) is not None
 
 
-def test_rows_make_the_same_log_again(small_blocks: None):
+def test_rows_restore_the_same_log(small_blocks: None):
     for count in (0, 3, 4, 5, 11, 20):
         log = _filled(numbers=range(1, count + 1))
         copy = VersionLog(forgotten_upto=log.forgotten_upto)
@@ -68,7 +68,7 @@
         assert copy == log
 
 
-def test_a_snapshot_from_before_versions_were_recorded_tells_of_what_it_keeps():
+def test_a_snapshot_without_versions_fills_the_log_from_its_configs():
     configs = [
         {"mark": number, "tree": {"n": number}, "activateUs": number, "version": number} for number in range(11, 31)
     ]
--- a/tests/planted_faults/table.py
+++ b/tests/planted_faults/table.py
@@ -234,7 +234,7 @@
     _fault("become-member", "a member is not put back to a snapshot", Joining, "_install_snapshot",
            "if self.agreement.is_member():", "if False:", directed="late_hand_over"),
     _fault("snapshot-parts", "the parts of a snapshot are of one mark", Joining, "_fetch_snapshot",
-           'or (number and told["mark"] != state.mark)', "", directed="snapshot_parts"),
+           'or (number and part["mark"] != state.mark)', "", directed="snapshot_parts"),
 ]  # fmt: skip
 
 LEAVING = [
