--- a/dockmux/control/chain_replica.py
+++ b/dockmux/control/chain_replica.py
@@ -1,7 +1,7 @@
 """Chain replication of the configuration log: changes enter at the head, each member syncs them to disk before it
 passes them on, and an entry is acknowledged once the tail holds it.
 
-An entry's place in the log is its index; messages and stored records call it `mark`.
+An entry's position in the log is its index; messages and stored records call it `mark`.
 """
 
 import dataclasses
@@ -14,7 +14,7 @@
 from dockmux.control.replica_store import ReplicaStore
 from dockmux.control.sessions import Sessions, TailExchange
 from dockmux.control.state import State
-from dockmux.control.version_check import judge_version
+from dockmux.control.version_check import validate_version
 from dockmux.control.view_agreement import ViewAgreement
 from dockmux.runtime.condition import Condition
 from dockmux.runtime.host import Host, time_limit
@@ -231,12 +231,12 @@
         with self.append_lock:
             if not (self.agreement.is_head() and self.agreement.holds_lease()):
                 return
-            taken, self.pending = self.pending[:MAX_BATCH_ENTRIES], self.pending[MAX_BATCH_ENTRIES:]
+            batch, self.pending = self.pending[:MAX_BATCH_ENTRIES], self.pending[MAX_BATCH_ENTRIES:]
             accepted: list[Write] = []
             answered: list[Write] = []
             tentative = self.tentative.copy()
             entries: list[Entry] = []
-            for write in taken:
+            for write in batch:
                 write.verdict = self._validate(write=write, tentative=tentative)
                 if write.verdict is not None:
                     write.index = tentative.mark
@@ -274,12 +274,12 @@
             self.disk_busy_since = None
 
     def _validate(self, *, write: Write, tentative: State) -> Outcome | None:
-        """The outcome of a change that adds no entry, None if it is accepted. Fills in the fields that only the head
-        can know: `digest` and `activateUs` of a configuration, `atUs` of a claim."""
+        """The outcome of a change that adds no entry, None if it is accepted. Fills in the fields that the head
+        decides: `digest` and `activateUs` of a configuration, `atUs` of a claim."""
         change = write.change
         now_us = instant_us(self.gossip.clock.use())
         if change["kind"] == "config":
-            refused = judge_version(change=change, tentative=tentative)
+            refused = validate_version(change=change, tentative=tentative)
             if refused is not None:
                 return refused
             last = instant_us(tentative.config.activate) if tentative.config else 0
@@ -303,8 +303,8 @@
 
     def _successor(self) -> str | None:
         chain = self.agreement.view.chain
-        place = chain.index(self.agreement.own_disk) + 1
-        return chain[place] if place < len(chain) else None
+        position = chain.index(self.agreement.own_disk) + 1
+        return chain[position] if position < len(chain) else None
 
     def _push_to_successor(self) -> None:
         """Sends the entries that the successor lacks and applies those that it acknowledges. Does nothing if a newer
--- a/dockmux/control/engine_scheduler.py
+++ b/dockmux/control/engine_scheduler.py
@@ -52,9 +52,9 @@
     or no engine, from a phase that would still have spare slots with one engine less."""
     by_phase: dict[str, list[dict[str, Any]]] = {"prefill": [], "decode": []}
     for engine in engines:
-        work = loads.get(engine["engine"])
-        if work is not None and work.phase in by_phase:
-            by_phase[work.phase].append(engine)
+        load = loads.get(engine["engine"])
+        if load is not None and load.phase in by_phase:
+            by_phase[load.phase].append(engine)
     for phase, other in (("prefill", "decode"), ("decode", "prefill")):
         donors = [(loads[engine["engine"]], engine) for engine in by_phase[other]]
         if len(donors) < 2:
@@ -64,8 +64,8 @@
         if slots and busy / slots <= OVERLOAD_RATIO:
             continue
         least = min(donors, key=lambda donor: (donor[0].busy, donor[1]["engine"]))
-        left = sum(work.slots for work, _ in donors) - least[0].slots
-        if sum(work.busy for work, _ in donors) / max(left, 1) >= SPARE_RATIO:
+        left = sum(load.slots for load, _ in donors) - least[0].slots
+        if sum(load.busy for load, _ in donors) / max(left, 1) >= SPARE_RATIO:
             continue
         return PhaseMove(engine=least[1], phase=phase)
     return None
@@ -177,7 +177,7 @@
     engines = [{"engine": name} for name in "abc"]
 
     def moved(**busy: tuple[str, float]) -> tuple[str, str] | None:
-        loads = {name: EngineLoad(phase=phase, slots=4, busy=work) for name, (phase, work) in busy.items()}
+        loads = {name: EngineLoad(phase=phase, slots=4, busy=load) for name, (phase, load) in busy.items()}
         move = choose_move(engines=engines, loads=loads)
         return move and (move.engine["engine"], move.phase)
 
--- a/dockmux/control/version_check.py
+++ b/dockmux/control/version_check.py
@@ -8,7 +8,7 @@
 from dockmux.runtime.time_units import instant_us
 
 
-def judge_version(*, change: dict[str, Any], tentative: State) -> Outcome | None:
+def validate_version(*, change: dict[str, Any], tentative: State) -> Outcome | None:
     """The outcome of a configuration that is refused or was accepted before, None if it may be appended.
 
     A configuration must be based on the current one. Where operators assign versions, the version must increase. One
@@ -21,12 +21,12 @@
     based_on, version = change["based_on"], change.get("version")
     if version is None:
         known = based_on is None or based_on >= versions.forgotten_upto
-        taken = versions.built_on(number=based_on) if known and based_on is not None else None
+        accepted = versions.successor_of(number=based_on) if known and based_on is not None else None
     else:
         known = version > versions.forgotten_upto
-        taken = versions.taken(number=version)
-    if taken is not None and taken.digest == digest:
-        return _taken_before(number=taken.number, tentative=tentative)
+        accepted = versions.lookup(number=version)
+    if accepted is not None and accepted.digest == digest:
+        return _accepted_before(number=accepted.number, tentative=tentative)
     current = tentative.config.number if tentative.config else 0
     if based_on != current and not known:
         return Outcome(
@@ -39,7 +39,7 @@
     return None
 
 
-def _taken_before(*, number: int, tentative: State) -> Outcome:
+def _accepted_before(*, number: int, tentative: State) -> Outcome:
     detail: dict[str, Any] = {"mark": number}
     for config in tentative.configs:
         if config.number == number:
--- a/dockmux/control/version_log.py
+++ b/dockmux/control/version_log.py
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class TakenVersion:
+class AcceptedVersion:
     """An accepted version: its number and the digest of its configuration."""
 
     number: int
@@ -46,11 +46,11 @@
     def __len__(self) -> int:
         return len(self.blocks) * BLOCK_RECORDS + len(self.tail) // _RECORD.size
 
-    def __getitem__(self, index: int) -> TakenVersion:
+    def __getitem__(self, index: int) -> AcceptedVersion:
         block, offset = divmod(index, BLOCK_RECORDS)
         data = self.blocks[block] if block < len(self.blocks) else self.tail
         number, digest = _RECORD.unpack_from(data, offset * _RECORD.size)
-        return TakenVersion(number=number, digest=digest)
+        return AcceptedVersion(number=number, digest=digest)
 
     @property
     def last_number(self) -> int:
@@ -81,12 +81,12 @@
                 high = middle
         return low if low < len(self) and self[low].number == number else None
 
-    def taken(self, *, number: int) -> TakenVersion | None:
+    def lookup(self, *, number: int) -> AcceptedVersion | None:
         """The version accepted under this number."""
         index = self.find(number=number)
         return None if index is None else self[index]
 
-    def built_on(self, *, number: int) -> TakenVersion | None:
+    def successor_of(self, *, number: int) -> AcceptedVersion | None:
         """The version accepted on top of this one."""
         if number == self.forgotten_upto:
             following = 0
--- a/tests/control/core_cluster.py
+++ b/tests/control/core_cluster.py
@@ -131,8 +131,8 @@
         if len(cores) < sum(self.hosts[name].alive for name in self.names):
             return False
         numbers = {core.agreement.view.number for core in cores if core.agreement.view is not None}
-        level = all(core.agreement.is_member() and core.store.caught_up for core in cores)
-        return level and len(numbers) == 1 and len(cores) == len(self.chain())
+        caught_up = all(core.agreement.is_member() and core.store.caught_up for core in cores)
+        return caught_up and len(numbers) == 1 and len(cores) == len(self.chain())
 
     def operator_index(self, *, name: str) -> int:
         """The index of a daemon in the operator's list of control daemons."""
--- a/tests/planted_faults/table.py
+++ b/tests/planted_faults/table.py
@@ -258,14 +258,15 @@
 ]  # fmt: skip
 
 VERSIONS = [
-    _fault("version-base", "a change builds on the current version", chain_replica, "judge_version",
+    _fault("version-base", "a change builds on the current version", chain_replica, "validate_version",
            "if based_on != current:", "if False:", directed="versions"),
-    _fault("version-rises", "a version is above the current one", chain_replica, "judge_version",
+    _fault("version-rises", "a version is above the current one", chain_replica, "validate_version",
            "if version is not None and version <= current:", "if False:", directed="versions"),
-    _fault("version-resent", "a change that was taken is known when it is sent again", chain_replica, "judge_version",
-           "if taken is not None and taken.digest == digest:", "if False:", directed="versions"),
+    _fault("version-resent", "a change that was taken is known when it is sent again", chain_replica,
+           "validate_version", "if accepted is not None and accepted.digest == digest:", "if False:",
+           directed="versions"),
     _fault("version-text", "a change of a taken number is another one when its text differs", chain_replica,
-           "judge_version", "and taken.digest == digest", "", directed="versions"),
+           "validate_version", "and accepted.digest == digest", "", directed="versions"),
 ]  # fmt: skip
 
 READS = [
