--- a/dockmux/platform_proxy/operator_api.py
+++ b/dockmux/platform_proxy/operator_api.py
@@ -47,7 +47,7 @@
 
     def _get(self, *, exchange: HttpExchange) -> Iterable[bytes]:
         """Answers with the newest acknowledged configuration, as it was sent."""
-        if not self.core.chain.confirm():
+        if not self.core.chain.confirm_read():
             why = {"why": "the chain's tail did not confirm under its lease"}
             return exchange.respond(outcome=Outcome(kind=OutcomeKind.NO_MAJORITY, detail=why))
         config = self.core.chain.state.config
--- a/dockmux/platform_proxy/phase_balancer.py
+++ b/dockmux/platform_proxy/phase_balancer.py
@@ -101,8 +101,8 @@
             agreement.is_head()
             and not agreement.leaving
             and agreement.holds_lease()
-            and now >= agreement.acts_from + self.deployment.lease
-            and agreement.lease_until() - now > ORDER_TIMEOUT
+            and now >= agreement.may_act_from + self.deployment.lease
+            and agreement.lease_expiry() - now > ORDER_TIMEOUT
         )
 
     def run(self) -> None:
@@ -230,7 +230,7 @@
         send: Callable[..., None] = self.core.gossip.send
         for _ in range(2):
             for card in {
-                c.address: c for c in self.core.peers.live_cards_with_age() + self.core.chain.sessions.standing()
+                c.address: c for c in self.core.peers.live_cards_with_age() + self.core.chain.sessions.active()
             }.values():
                 if card.role == "edge":
                     send(address=card.address, message=message)
