--- a/dockmux/platform_proxy/edge.py
+++ b/dockmux/platform_proxy/edge.py
@@ -8,17 +8,17 @@
 from dockmux.clock.peer_table import PeerTable
 from dockmux.platform_proxy.budget import Budget
 from dockmux.platform_proxy.config_tracker import ConfigTracker
-from dockmux.platform_proxy.connections import Connections
+from dockmux.platform_proxy.connection_pool import ConnectionPool
 from dockmux.platform_proxy.deployment import Deployment
 from dockmux.platform_proxy.directory import Directory
 from dockmux.platform_proxy.dispatcher import Dispatcher
 from dockmux.platform_proxy.engine_client import EngineClient
 from dockmux.platform_proxy.engine_health import EngineHealth
-from dockmux.platform_proxy.leaving import Leaving
 from dockmux.platform_proxy.load_tracker import LoadTracker
 from dockmux.platform_proxy.placement import Placement
 from dockmux.platform_proxy.protocol_adapter import EngineEntry, ProtocolAdapter
-from dockmux.platform_proxy.table import Table
+from dockmux.platform_proxy.request_table import RequestTable
+from dockmux.platform_proxy.shutdown import Shutdown
 from dockmux.runtime import metrics
 from dockmux.runtime.host import Host
 from dockmux.runtime.http_transport import HttpExchange, serve
@@ -56,7 +56,7 @@
         self.settings = settings
         self.deployment = deployment
         self.protocol = protocol
-        self.leaving: Leaving | None = None
+        self.shutdown: Shutdown | None = None
         self.served = ServedConnections()
         card = PeerCard(
             name=settings.name, role="edge", site=settings.site, address=settings.address, http=settings.http,
@@ -74,10 +74,10 @@
             host.listen(address=deployment.http_address) as front,
             host.listen(address=deployment.readyz_address) as ready,
             RpcClient(host=host) as rpc_client,
-            Connections(host=host) as connections,
+            ConnectionPool(host=host) as connection_pool,
             TaskGroup(host=host) as task_group,
         ):
-            self.task_group, self.rpc_client, self.connections = task_group, rpc_client, connections
+            self.task_group, self.rpc_client, self.connection_pool = task_group, rpc_client, connection_pool
             self.gossip = GossipEndpoint(host=host, settings=settings, peers=self.peers, port=port)
             self.config_tracker = ConfigTracker(
                 host=host, gossip=self.gossip, rpc_client=rpc_client, protocol=self.protocol
@@ -87,13 +87,13 @@
             self.load_tracker = LoadTracker(host=host)
             self.budget = Budget(deployment=deployment, started_at=host.elapsed())
             self.placement = Placement(host=host, zone=settings.site, load_tracker=self.load_tracker)
-            self.engine_client = EngineClient(host=host, protocol=self.protocol, connections=connections)
+            self.engine_client = EngineClient(host=host, protocol=self.protocol, connection_pool=connection_pool)
             self.dispatcher = Dispatcher(
                 host=host, protocol=self.protocol, directory=self.directory, engine_client=self.engine_client,
                 load_tracker=self.load_tracker, placement=self.placement, engine_health=self.engine_health,
-                budget=self.budget, clock=self.gossip.clock, daemons=self.daemons,
+                budget=self.budget, clock=self.gossip.clock, daemon_count=self.daemons,
             )  # fmt: skip
-            self.table = Table(
+            self.request_table = RequestTable(
                 host=host, protocol=self.protocol, config_tracker=self.config_tracker, directory=self.directory,
                 dispatcher=self.dispatcher, engine_health=self.engine_health, budget=self.budget,
             )  # fmt: skip
@@ -121,22 +121,22 @@
         """Marks the daemon as not ready. Returns the number of busy connections, plus one while new requests may still
         arrive."""
         now = self.host.elapsed()
-        if self.leaving is None:
-            self.leaving = Leaving(told_at=now, ends_at=now + ms(self.settings.drainMs))
-            self.table.leave(leaving=self.leaving)
+        if self.shutdown is None:
+            self.shutdown = Shutdown(requested_at=now, ends_at=now + ms(self.settings.drainMs))
+            self.request_table.begin_shutdown(shutdown=self.shutdown)
             self.served.closing = True
-        if not self.leaving.admits_all(now=now):
+        if not self.shutdown.admits_all(now=now):
             self.served.close_idle()
-        return self.served.busy + self.leaving.lingers(now=now)
+        return self.served.busy + self.shutdown.awaits_deregistration(now=now)
 
     def is_ready(self) -> bool:
         """Whether the daemon has a configuration and engines, and is not draining."""
-        return self.leaving is None and self.config_tracker.table is not None and bool(self.directory.rows)
+        return self.shutdown is None and self.config_tracker.table is not None and bool(self.directory.rows)
 
     # HTTP.
 
     def handle_http(self, exchange: HttpExchange) -> Iterable[bytes]:
-        return self.table.handle_http(exchange)
+        return self.request_table.handle_http(exchange)
 
     def handle_readiness(self, exchange: HttpExchange) -> Iterable[bytes]:
         if exchange.path == self.protocol.ready_path:
@@ -145,16 +145,16 @@
             return exchange.respond(outcome=Outcome(kind=OutcomeKind.NOT_READY, detail={"why": "see /status"}))
         if exchange.path == "/metrics":
             values = {
-                "open": self.table.open,
+                "open": self.request_table.open,
                 "ready": self.is_ready(),
                 "clock_bound_seconds": self.gossip.clock.bound().total_seconds(),
                 "peers": len(self.peers.live_cards()),
                 "engines": len(self.directory.rows),
                 "list_age_seconds": min(self.directory.age.total_seconds(), 1e6),
-                "connections_made": self.connections.made,
+                "connections_made": self.connection_pool.opened,
                 "tasks_failed": self.task_group.failed,
             }
-            return metrics.page(exchange=exchange, values=values, outcomes=self.table.outcomes())
+            return metrics.page(exchange=exchange, values=values, outcomes=self.request_table.outcomes())
         if exchange.path == "/status":
             return exchange.reply(status=200, fields=self.status())
         return exchange.respond(outcome=Outcome(kind=OutcomeKind.NOT_FOUND, detail={"path": exchange.path}))
@@ -189,9 +189,9 @@
             self.host.sleep(wait=MAINTENANCE_INTERVAL)
             self._receive_messages()
             self._apply_limits()
-            self.table.expire()
-            self.table.cancel()
-            self.table.abandon()
+            self.request_table.cancel_expired()
+            self.request_table.cancel_disconnected()
+            self.request_table.cancel_stalled()
             self._probe_failing()
             self._free_kv()
             now = self.host.elapsed()
@@ -209,7 +209,7 @@
                 sent_at, last_summary = now, summary
             if now - swept_at >= IDLE_REPORT_INTERVAL:
                 swept_at = now
-                self.connections.sweep()
+                self.connection_pool.close_expired()
                 self.engine_health.forget(engines=set(self.directory.rows))
                 names = {card.name for card in self.edges()}
                 self.load_tracker.forget(live=names)
@@ -227,7 +227,7 @@
         self.gossip.usage_summaries.clear()
         moving, self.gossip.moving_notices[:] = list(self.gossip.moving_notices), []
         for arrived, message in moving:
-            self.dispatcher.moving[message.engine] = (message.phase, arrived + ms(message.left_ms))
+            self.dispatcher.phase_changes[message.engine] = (message.phase, arrived + ms(message.left_ms))
         received, self.gossip.work_summaries[:] = list(self.gossip.work_summaries), []
         for arrived, summary in received:
             name = summary.sender.name
@@ -294,7 +294,7 @@
     # Probes of failing engines, and KV cache that no request will use.
 
     def _probe_failing(self) -> None:
-        for engine in {*self.engine_health.due_for_probe(), *self.table.silent()}:
+        for engine in {*self.engine_health.due_for_probe(), *self.request_table.silent_engines()}:
             row = self.directory.rows.get(engine)
             if row is not None and engine not in self.probing:
                 self.probing.add(engine)
@@ -304,7 +304,7 @@
         """Runs a health check and records its result."""
         try:
             service = self.config_tracker.table.services.get(engine.service) if self.config_tracker.table else None
-            if service is not None and self.engine_client.well(engine=engine, path=service.health_path):
+            if service is not None and self.engine_client.is_healthy(engine=engine, path=service.health_path):
                 self.engine_health.note_success(engine=engine.engine)
             else:
                 self.engine_health.note_failure(engine=engine.engine, why="health check failed")
@@ -312,6 +312,6 @@
             self.probing.discard(engine.engine)
 
     def _free_kv(self) -> None:
-        unused_handles, self.dispatcher.to_forget[:] = list(self.dispatcher.to_forget), []
+        unused_handles, self.dispatcher.unused_kv_handles[:] = list(self.dispatcher.unused_kv_handles), []
         for kv_handle in unused_handles:
-            self.task_group.start(task=self.engine_client.forget, kv_handle=kv_handle)
+            self.task_group.start(task=self.engine_client.release_kv_handle, kv_handle=kv_handle)
--- a/dockmux/platform_proxy/phase_balancer.py
+++ b/dockmux/platform_proxy/phase_balancer.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.platform_proxy.connections import Connections
+from dockmux.platform_proxy.connection_pool import ConnectionPool
 from dockmux.platform_proxy.deployment import Deployment
 from dockmux.platform_proxy.engine_client import WIRE_ERRORS
 from dockmux.platform_proxy.load_tracker import LoadTracker
@@ -101,20 +101,20 @@
             agreement.is_head()
             and not agreement.leaving
             and agreement.holds_lease()
-            and now >= agreement.acts_from + self.deployment.lease
-            and agreement.lease_until() - now > ORDER_TIMEOUT
+            and now >= agreement.may_act_from + self.deployment.lease
+            and agreement.lease_expiry() - now > ORDER_TIMEOUT
         )
 
     def run(self) -> None:
         """Follows the load and orders phase changes, without end."""
         self.core.gossip.collects_work_messages = True
-        with Connections(host=self.host) as connections:
+        with ConnectionPool(host=self.host) as connection_pool:
             while True:
                 self.host.sleep(wait=BALANCE_INTERVAL)
                 self._receive_summaries()
                 self._update_loads()
                 if self.may_issue_orders():
-                    self._balance(connections=connections)
+                    self._balance(connection_pool=connection_pool)
 
     def _receive_summaries(self) -> None:
         works = self.core.gossip.work_summaries
@@ -162,7 +162,7 @@
                 streams=previous.streams + LOAD_SMOOTHING * (streams - previous.streams),
             )
 
-    def _balance(self, *, connections: Connections) -> None:
+    def _balance(self, *, connection_pool: ConnectionPool) -> None:
         for service in sorted(self.loads):
             now = self.host.elapsed()
             if now - self.ordered_at.get(service, -SERVICE_COOLDOWN) < SERVICE_COOLDOWN:
@@ -186,13 +186,13 @@
                 continue
             engine = min(donors, key=self._load_key)
             self.ordered_at[service] = now
-            self._change_phase(engine=engine, phase=phase, connections=connections)
+            self._change_phase(engine=engine, phase=phase, connection_pool=connection_pool)
 
     def _load_key(self, engine: EngineEntry) -> tuple[timedelta, int, str]:
         name = engine.engine
         return self.load_tracker.backlog(engine=name), self.load_tracker.streams(engine=name), name
 
-    def _change_phase(self, *, engine: EngineEntry, phase: str, connections: Connections) -> None:
+    def _change_phase(self, *, engine: EngineEntry, phase: str, connection_pool: ConnectionPool) -> None:
         self._announce(engine=engine, phase=phase, remaining=PHASE_CHANGE_TIMEOUT)
         self.host.sleep(wait=ANNOUNCE_LEAD)
         if not self.may_issue_orders():
@@ -203,7 +203,7 @@
         try:
             with (
                 time_limit(wait=ORDER_TIMEOUT),
-                connections.open(engine=engine.engine, address=engine.address) as stream,
+                connection_pool.open(engine=engine.engine, address=engine.address) as stream,
             ):
                 if not self.may_issue_orders():
                     return
@@ -214,7 +214,7 @@
                 response = stream.getresponse()
                 response.read()
                 status = response.status
-                connections.note_whole(stream=stream, keep=None, closing=True)
+                connection_pool.note_complete(connection=stream, keep=None, closing=True)
         except WIRE_ERRORS as error:
             self.host.log(LogEvent.PHASE_ORDER_FAILED, engine=engine.engine, phase=phase, why=error)
         if status in (200, 202):
@@ -230,7 +230,7 @@
         send: Callable[..., None] = self.core.gossip.send
         for _ in range(2):
             for card in {
-                c.address: c for c in self.core.peers.live_cards_with_age() + self.core.chain.sessions.standing()
+                c.address: c for c in self.core.peers.live_cards_with_age() + self.core.chain.sessions.active()
             }.values():
                 if card.role == "edge":
                     send(address=card.address, message=message)
--- a/tests/engine_health_test.py
+++ b/tests/engine_health_test.py
@@ -2,16 +2,16 @@
 
 from dockmux.platform_proxy.engine_health import MAX_PROBE_DELAY, OBSERVATION_TTL, PEER_RENEWAL_TIME, EngineHealth
 from dockmux.runtime.log_events import LogEvent
-from tests.standins.still import StillHost
+from tests.standins.manual_clock_host import ManualClockHost
 
 
 def test_a_failed_engine_is_excluded_until_it_is_observed_healthy():
-    host = StillHost()
+    host = ManualClockHost()
     engine_health = EngineHealth(host=host)
     assert not engine_health.is_failing(engine="e") and engine_health.due_for_probe() == []
     engine_health.note_failure(engine="e", why="reset")
     assert engine_health.is_failing(engine="e") and engine_health.due_for_probe() == []
-    host.pass_ms(1000)
+    host.advance_ms(1000)
     assert engine_health.is_failing(engine="e") and engine_health.due_for_probe() == ["e"]
     engine_health.note_success(engine="e")
     assert not engine_health.is_failing(engine="e") and engine_health.due_for_probe() == []
@@ -19,7 +19,7 @@
 
 
 def test_the_probe_delay_grows_up_to_a_maximum():
-    host = StillHost()
+    host = ManualClockHost()
     engine_health = EngineHealth(host=host)
     delays = []
     for _ in range(8):
@@ -31,7 +31,7 @@
 
 def test_many_failures_in_a_row_cause_no_error():
     """All requests at an engine fail together with it."""
-    engine_health = EngineHealth(host=StillHost())
+    engine_health = EngineHealth(host=ManualClockHost())
     for _ in range(2000):
         engine_health.note_failure(engine="e", why="reset")
     assert engine_health.is_failing(engine="e")
@@ -39,7 +39,7 @@
 
 def test_simultaneous_failures_count_once_for_the_probe_delay():
     """Fifty requests that fail with their engine are one failure of the engine."""
-    host = StillHost()
+    host = ManualClockHost()
     engine_health = EngineHealth(host=host)
     for _ in range(10):
         engine_health.note_failure(engine="e", why="reset")
@@ -47,37 +47,37 @@
 
 
 def test_daemons_share_observations_and_the_later_one_counts():
-    local_host, remote_host = StillHost(seed=1), StillHost(seed=2)
+    local_host, remote_host = ManualClockHost(seed=1), ManualClockHost(seed=2)
     local, remote = EngineHealth(host=local_host), EngineHealth(host=remote_host)
     local.note_failure(engine="e", why="reset")
     remote.update_from_peer(summary=local.summary())
     assert remote.is_failing(engine="e") and remote.due_for_probe() == [] and remote.summary() == {}
-    remote_host.pass_ms(500)
+    remote_host.advance_ms(500)
     old_summary = local.summary()
-    local_host.pass_ms(500)
+    local_host.advance_ms(500)
     local.note_success(engine="e")
     remote.update_from_peer(summary=local.summary())
     assert not remote.is_failing(engine="e")
     # A delayed message does not restore the older observation.
-    remote_host.pass_ms(50)
-    local_host.pass_ms(50)
+    remote_host.advance_ms(50)
+    local_host.advance_ms(50)
     remote.update_from_peer(summary={"e": [old_summary["e"][0], old_summary["e"][1] + 550, 0]})
     assert not remote.is_failing(engine="e")
 
 
 def test_an_observation_of_a_daemon_that_is_gone_expires():
-    host = StillHost()
+    host = ManualClockHost()
     engine_health = EngineHealth(host=host)
     engine_health.update_from_peer(summary={"e": [0, 10, 500]})
     assert engine_health.is_failing(engine="e")
     host.now += PEER_RENEWAL_TIME
     assert engine_health.is_failing(engine="e")
-    host.pass_ms(501)
+    host.advance_ms(501)
     assert not engine_health.is_failing(engine="e")
 
 
 def test_observations_expire_and_those_of_removed_engines_are_dropped():
-    host = StillHost()
+    host = ManualClockHost()
     engine_health = EngineHealth(host=host)
     engine_health.note_failure(engine="e", why="reset")
     engine_health.note_success(engine="e")
