--- a/dockmux/scale_model/__init__.py
+++ b/dockmux/scale_model/__init__.py
@@ -1,1 +1,1 @@
-"""What control costs at which size: whole fleets of the very same daemons on virtual time, metered by role."""
+"""Measures the cost of control traffic by fleet size and role, with unmodified daemons on virtual time."""
--- a/dockmux/scale_model/fleet.py
+++ b/dockmux/scale_model/fleet.py
@@ -1,4 +1,4 @@
-"""One fleet of a given size: brought up, watched for a while, given a configuration, and read off."""
+"""Simulates one fleet of a given size: starts it, measures its control traffic, and times a configuration change."""
 
 import dataclasses
 import gc
@@ -22,23 +22,26 @@
 from dockmux.runtime.host import time_limit
 from dockmux.runtime.http_transport import HttpClientConnection, HttpExchange, serve
 from dockmux.runtime.time_units import ms
-from dockmux.scale_model.hollow import HollowEdge, run_load
 from dockmux.scale_model.meter import Meter, MeteredHost, MeteredWorld, deep_size
+from dockmux.scale_model.synthetic_load import SyntheticLoadEdge, run_synthetic_load
 from dockmux.simulator.world import SimHost
 
-PLATFORM = "10.9.0.1:9000"
-READING_PART = 0.24
-PAGE_ROWS = 200
-STEP = timedelta(milliseconds=10)
-JOIN_LIMIT = timedelta(seconds=40)
-FORCE_LIMIT = timedelta(seconds=30)
-OPERATOR_LIMIT = timedelta(seconds=10)
+PLATFORM_ADDRESS = "10.9.0.1:9000"
+PREFILL_ENGINE_SHARE = 0.24
+LIST_PAGE_ROWS = 200
+POLL_INTERVAL = timedelta(milliseconds=10)
+JOIN_TIMEOUT = timedelta(seconds=40)
+ACTIVATION_TIMEOUT = timedelta(seconds=30)
+OPERATOR_TIMEOUT = timedelta(seconds=10)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Size:
-    """What is stepped. Invariant: `changes_per_day` are configurations taken while the fleet is watched, and none are
-    when it is 0; `real` of the daemons are real ones without load, the others hollow."""
+    """The size of a fleet; each field can be varied on its own.
+
+    Invariants: `changes_per_day` is the rate of configuration changes during the measurement, with 0 for none; the
+    first `real` of the `daemons` are unmodified data daemons without requests, the others `SyntheticLoadEdge`s.
+    """
 
     daemons: int = 12
     engines: int = 610
@@ -50,16 +53,16 @@
     real: int = 0
 
 
-def load_protocol(*, path: str) -> ProtocolAdapter:
-    """The platform's names and formats, from the file that its own programs use."""
-    spec = importlib.util.spec_from_file_location("gauge_words", path)
+def load_protocol_adapter(*, path: str) -> ProtocolAdapter:
+    """Loads the platform adapter from the Python file at `path`, the one that the platform's daemons use."""
+    spec = importlib.util.spec_from_file_location("scale_model_platform_adapter", path)
     module = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(module)
     return module.PlatformAdapter()
 
 
-def configuration(*, size: Size, version: int) -> RouteTable:
-    """A route for each model, and one for each tenant that has its own."""
+def build_route_table(*, size: Size, version: int) -> RouteTable:
+    """Returns a configuration with one route for each model and one for each tenant."""
     services = {f"m{n}": Service(name=f"m{n}", health_path="/health", max_connections=64) for n in range(size.models)}
 
     def route(*, name: str, host: str, prefix: str, service: str) -> Route:
@@ -77,9 +80,13 @@
     return RouteTable(version=version, routes=tuple(routes), services=services, limits=Limits())
 
 
-class GaugeFleet:
-    """Invariants: `cores` and `edges` hold the daemons by name, each beside its process in `hosts`; the platform, the
-    operators and the load are processes of their own and no part of any role's figures but the operators'."""
+class SimulatedFleet:
+    """A simulated fleet with a platform that serves the engine list and an operator that changes the configuration.
+
+    Invariants: `cores` and `edges` hold the running daemons by name, and `hosts` the process of each; the platform, the
+    operator and the synthetic load run in separate processes, which count towards no role; only the operator's
+    traffic is reported, separately.
+    """
 
     def __init__(self, *, world: MeteredWorld, size: Size, protocol: ProtocolAdapter) -> None:
         self.world = world
@@ -88,182 +95,211 @@
         self.hosts: dict[str, MeteredHost] = {}
         self.cores: dict[str, Core] = {}
         self.edges: dict[str, Edge] = {}
-        self.hollow: list[HollowEdge] = []
+        self.synthetic_load_edges: list[SyntheticLoadEdge] = []
         self.version = 0
         self.list_calls = 0
-        self.operator = MeteredHost(world=world, name="operator", machine=world.machine(ip="10.9.0.2", site="outside"))
+        self.operator_host = MeteredHost(
+            world=world, name="operator", machine=world.machine(ip="10.9.0.2", site="outside")
+        )
         self.seeds = [f"10.0.0.{n + 1}:7000" for n in range(min(size.cores, 3))]
 
-    def _zone(self, *, place: int) -> str:
-        return f"z{place % self.size.zones}"
+    def _zone(self, *, index: int) -> str:
+        return f"z{index % self.size.zones}"
 
-    def _fields(self, *, name: str, ip: str, place: int) -> dict[str, Any]:
-        """As the platform's settings file is read."""
-        tolerated = (self.size.cores - 1) // 2
+    def _settings_fields(self, *, name: str, ip: str, index: int) -> dict[str, Any]:
+        """Returns the settings of one daemon, under the keys of the settings file."""
+        tolerated_failures = (self.size.cores - 1) // 2
         return {
-            "name": name, "site": self._zone(place=place), "address": f"{ip}:7000", "http": f"{ip}:8000",
-            "seeds": self.seeds, "cores": 2 * tolerated + 1, "copies": tolerated + 1, "rumourMs": 1000,
-            "bodyLimitKb": 8192,
+            "name": name, "site": self._zone(index=index), "address": f"{ip}:7000", "http": f"{ip}:8000",
+            "seeds": self.seeds, "cores": 2 * tolerated_failures + 1, "copies": tolerated_failures + 1,
+            "rumourMs": 1000, "bodyLimitKb": 8192,
         }  # fmt: skip
 
-    def start_core(self, *, place: int) -> None:
-        name, ip = f"core-{place}", f"10.0.0.{place + 1}"
-        checked = settings.check(fields=self._fields(name=name, ip=ip, place=place) | {"data_folder": "data"})
+    def start_core(self, *, index: int) -> None:
+        """Starts the control daemon with this index."""
+        name, ip = f"core-{index}", f"10.0.0.{index + 1}"
+        daemon_settings = settings.check(
+            fields=self._settings_fields(name=name, ip=ip, index=index) | {"data_folder": "data"}
+        )
         deployment = Deployment(tolerated_failures=(self.size.cores - 1) // 2)
 
         def run(host: SimHost) -> None:
-            core = Core(host=host, settings=checked)
+            core = Core(host=host, settings=daemon_settings)
             core.operator_api = OperatorApi(core=core, protocol=self.protocol).handle_http
             core.extra_tasks.append(PhaseBalancer(core=core, deployment=deployment, protocol=self.protocol).run)
             with core.running():
                 self.cores[name] = core
                 host.sleep(wait=timedelta(days=1))
 
-        self.hosts[name] = self.world.start(name=name, ip=ip, site=checked.site, run=run)
+        self.hosts[name] = self.world.start(name=name, ip=ip, site=daemon_settings.site, run=run)
 
-    def edge_name(self, *, place: int) -> str:
-        return f"edge-{place:03d}"
+    def edge_name(self, *, index: int) -> str:
+        return f"edge-{index:03d}"
 
-    def forget_edge(self, *, place: int) -> None:
-        """One that was ended, before it is begun anew."""
-        edge = self.edges.pop(self.edge_name(place=place))
-        if edge in self.hollow:
-            self.hollow.remove(edge)
+    def remove_edge(self, *, index: int) -> None:
+        """Removes a killed data daemon, so that it can be started again."""
+        edge = self.edges.pop(self.edge_name(index=index))
+        if edge in self.synthetic_load_edges:
+            self.synthetic_load_edges.remove(edge)
 
-    def start_edge(self, *, place: int) -> None:
-        name, ip = self.edge_name(place=place), f"10.1.{place // 200}.{place % 200 + 1}"
-        checked = settings.check(fields=self._fields(name=name, ip=ip, place=place))
-        tolerated = (self.size.cores - 1) // 2
+    def start_edge(self, *, index: int) -> None:
+        """Starts the data daemon with this index."""
+        name, ip = self.edge_name(index=index), f"10.1.{index // 200}.{index % 200 + 1}"
+        daemon_settings = settings.check(fields=self._settings_fields(name=name, ip=ip, index=index))
+        tolerated_failures = (self.size.cores - 1) // 2
         deployment = Deployment(
-            http_address=checked.http, readyz_address=f"{ip}:8001", list_address=PLATFORM, tolerated_failures=tolerated,
-            retry_ratio=0.1, retry_extra=20,
+            http_address=daemon_settings.http, readyz_address=f"{ip}:8001", list_address=PLATFORM_ADDRESS,
+            tolerated_failures=tolerated_failures, retry_ratio=0.1, retry_extra=20,
         )  # fmt: skip
-        kind = Edge if place < self.size.real else HollowEdge
+        edge_class = Edge if index < self.size.real else SyntheticLoadEdge
 
         def run(host: SimHost) -> None:
-            edge = kind(host=host, settings=checked, deployment=deployment, protocol=self.protocol)
+            edge = edge_class(host=host, settings=daemon_settings, deployment=deployment, protocol=self.protocol)
             with edge.running():
                 self.edges[name] = edge
-                if isinstance(edge, HollowEdge):
-                    self.hollow.append(edge)
+                if isinstance(edge, SyntheticLoadEdge):
+                    self.synthetic_load_edges.append(edge)
                 host.sleep(wait=timedelta(days=1))
 
-        self.hosts[name] = self.world.start(name=name, ip=ip, site=checked.site, run=run)
+        self.hosts[name] = self.world.start(name=name, ip=ip, site=daemon_settings.site, run=run)
 
     def start_platform(self) -> None:
-        """Answers with the list of engines, by pages."""
-        readers = round(self.size.engines * READING_PART)
+        """Starts the platform, which serves the engine list in pages, and the process that runs the synthetic load."""
+        prefill_engines = round(self.size.engines * PREFILL_ENGINE_SHARE)
         rows = [
             EngineEntry(
                 engine=f"e{n:04d}", service=f"m{n % self.size.models}", address=f"10.2.{n // 200}.{n % 200 + 1}:8000",
-                zone=self._zone(place=n), phase="prefill" if n < readers else "decode", slots=16, leaving=False,
+                zone=self._zone(index=n), phase="prefill" if n < prefill_engines else "decode", slots=16, leaving=False,
                 release="1",
             )
             for n in range(self.size.engines)
         ]  # fmt: skip
 
         def handle_http(exchange: HttpExchange) -> Iterable[bytes]:
-            page = int(exchange.environ.get("QUERY_STRING", "").partition("=")[2] or 0)
-            following = str(page + PAGE_ROWS) if page + PAGE_ROWS < len(rows) else None
-            told = self.protocol.render_list(rows=rows[page : page + PAGE_ROWS], next_page=following)
-            self.list_calls += page == 0
-            return exchange.reply(status=200, fields=told)
+            first_row = int(exchange.environ.get("QUERY_STRING", "").partition("=")[2] or 0)
+            next_first_row = str(first_row + LIST_PAGE_ROWS) if first_row + LIST_PAGE_ROWS < len(rows) else None
+            response_body = self.protocol.render_list(
+                rows=rows[first_row : first_row + LIST_PAGE_ROWS], next_page=next_first_row
+            )
+            self.list_calls += first_row == 0
+            return exchange.reply(status=200, fields=response_body)
 
         def run(host: SimHost) -> None:
-            with host.listen(address=PLATFORM) as listener:
+            with host.listen(address=PLATFORM_ADDRESS) as listener:
                 serve(host=host, listener=listener, handler=handle_http)
 
-        self.world.start(name="platform", ip=PLATFORM.partition(":")[0], site="outside", run=run)
+        self.world.start(name="platform", ip=PLATFORM_ADDRESS.partition(":")[0], site="outside", run=run)
         self.world.start(
-            name="load", ip="10.9.0.3", site="outside", run=lambda host: run_load(host=host, edges=self.hollow)
+            name="load",
+            ip="10.9.0.3",
+            site="outside",
+            run=lambda host: run_synthetic_load(host=host, edges=self.synthetic_load_edges),
         )
 
-    def wait_until(self, *, what: str, limit: timedelta) -> timedelta:
-        """How long it took until the named thing held."""
-        began = self.world.now()
-        while not getattr(self, what)():
-            if self.world.now() - began > limit:
-                raise TimeoutError(f"{what}: not within {limit}; crashed: {self.world.crashes[:3]}")
-            self.operator.sleep(wait=STEP)
-        return self.world.now() - began
+    def wait_until(self, *, condition: str, timeout: timedelta) -> timedelta:
+        """Waits until the method named `condition` returns true; TimeoutError after `timeout`.
+
+        Returns the virtual time that this took.
+        """
+        start_time = self.world.now()
+        while not getattr(self, condition)():
+            if self.world.now() - start_time > timeout:
+                raise TimeoutError(
+                    f"{condition} was not reached within {timeout}; crashed processes: {self.world.crashes[:3]}"
+                )
+            self.operator_host.sleep(wait=POLL_INTERVAL)
+        return self.world.now() - start_time
 
-    # What is waited for.
+    # Conditions for `wait_until`.
 
-    def has_head(self) -> bool:
+    def control_plane_ready(self) -> bool:
+        """Whether a head holds its lease and every control daemon is a member with a working gossip endpoint."""
         return any(core.agreement.is_head() and core.agreement.holds_lease() for core in self.cores.values()) and all(
             core.agreement.is_member() and core.gossip.ready() for core in self.cores.values()
         )
 
-    def joined(self) -> bool:
-        everyone = self.size.daemons + self.size.cores - 1
+    def all_joined(self) -> bool:
+        """Whether every data daemon is ready, has a synchronized clock and knows every other daemon."""
+        other_daemons = self.size.daemons + self.size.cores - 1
         if len(self.edges) < self.size.daemons:
             return False
         return all(
-            edge.is_ready() and edge.gossip.clock.synchronized and len(edge.peers.cards) == everyone
+            edge.is_ready() and edge.gossip.clock.synchronized and len(edge.peers.cards) == other_daemons
             for edge in self.edges.values()
         )
 
-    def in_force(self) -> bool:
+    def config_active_everywhere(self) -> bool:
+        """Whether every data daemon uses the newest configuration."""
         return all(
             edge.config_tracker.table and edge.config_tracker.table.version == self.version
             for edge in self.edges.values()
         )
 
-    # Operators.
+    # Operator requests.
 
-    def put(self) -> None:
-        """The next configuration."""
+    def put_next_config(self) -> None:
+        """Submits the next configuration version through core-0."""
         self.version += 1
-        self.send(core="core-0")
-
-    def send(self, *, core: str) -> None:
-        """The newest configuration, through a control daemon's own door; OSError unless it is acknowledged."""
-        text = self.protocol.render_config(table=configuration(size=self.size, version=self.version)).encode()
-        headers = {"x-base-version": str(self.version - 1), "Content-Length": str(len(text))}
+        self.post_config(core="core-0")
+
+    def post_config(self, *, core: str) -> None:
+        """Submits the newest configuration to the HTTP address of one control daemon; OSError unless acknowledged."""
+        request_body = self.protocol.render_config(
+            table=build_route_table(size=self.size, version=self.version)
+        ).encode()
+        headers = {"x-base-version": str(self.version - 1), "Content-Length": str(len(request_body))}
         with (
-            time_limit(wait=OPERATOR_LIMIT),
+            time_limit(wait=OPERATOR_TIMEOUT),
             HttpClientConnection(
-                host=self.operator, address=self.cores[core].settings.http, wait=OPERATOR_LIMIT
-            ) as stream,
+                host=self.operator_host, address=self.cores[core].settings.http, wait=OPERATOR_TIMEOUT
+            ) as connection,
         ):
-            stream.connect()
-            stream.request("POST", self.protocol.put_path, body=text, headers=headers, preload_content=False)
-            response = stream.getresponse()
-            told = response.read()
+            connection.connect()
+            connection.request(
+                "POST", self.protocol.put_path, body=request_body, headers=headers, preload_content=False
+            )
+            response = connection.getresponse()
+            response_body = response.read()
         if response.status != 200:
-            raise OSError(f"the configuration was answered {response.status} {told!r}")
-
-    def up(self) -> timedelta:
-        for place in range(self.size.cores):
-            self.start_core(place=place)
-        self.wait_until(what="has_head", limit=JOIN_LIMIT)
-        self.put()
+            raise OSError(f"configuration request failed with HTTP status {response.status}: {response_body!r}")
+
+    def start(self) -> timedelta:
+        """Starts all daemons and returns the time from the last start until all have joined the fleet."""
+        for index in range(self.size.cores):
+            self.start_core(index=index)
+        self.wait_until(condition="control_plane_ready", timeout=JOIN_TIMEOUT)
+        self.put_next_config()
         self.start_platform()
-        for place in range(self.size.daemons):
-            self.start_edge(place=place)
-            self.operator.sleep(wait=timedelta(seconds=2) / self.size.daemons)
-        return self.wait_until(what="joined", limit=JOIN_LIMIT)
+        for index in range(self.size.daemons):
+            self.start_edge(index=index)
+            self.operator_host.sleep(wait=timedelta(seconds=2) / self.size.daemons)
+        return self.wait_until(condition="all_joined", timeout=JOIN_TIMEOUT)
 
-    # Reading off.
+    # Measurement.
 
     def roles(self) -> dict[str, list[str]]:
-        """Names of the processes in each role."""
+        """Returns the names of the processes in each role.
+
+        The list asker is the data daemon with the lowest address, which is the first to refresh the engine list.
+        """
         view = next(iter(self.cores.values())).agreement.view
         names = {core.agreement.own_disk: name for name, core in self.cores.items()}
         chain = [names[disk] for disk in view.chain]
         edges = sorted(self.edges)
-        asker = min(self.edges.values(), key=lambda edge: edge.settings.address).settings.name
+        list_asker = min(self.edges.values(), key=lambda edge: edge.settings.address).settings.name
         return {
-            "head": chain[:1], "core": chain[1:-1], "tail": chain[-1:], "edge": [n for n in edges if n != asker],
-            "list asker": [asker],
+            "head": chain[:1], "core": chain[1:-1], "tail": chain[-1:], "edge": [n for n in edges if n != list_asker],
+            "list asker": [list_asker],
         }  # fmt: skip
 
-    def reset(self) -> None:
+    def reset_meters(self) -> None:
+        """Resets the meters of the daemons and the operator."""
         for host in self.hosts.values():
             host.meter.reset()
-        self.operator.meter.reset()
+        self.operator_host.meter.reset()
 
     def state_bytes(self, *, name: str) -> dict[str, int]:
+        """Returns the memory in bytes of each part of a daemon's state that grows with the fleet."""
         if name in self.cores:
             core = self.cores[name]
             parts = {
@@ -281,34 +317,34 @@
             }
         return {part: deep_size(roots=roots) for part, roots in parts.items()}
 
-    def told_part(self) -> float:
-        """Which part of the other daemons' work a daemon may use: what it was told no longer than a while ago."""
-        parts = []
+    def fresh_load_share(self) -> float:
+        """Returns the mean share of the other daemons whose load summary is younger than PEER_LOAD_TTL."""
+        shares = []
         for edge in self.edges.values():
             now = edge.host.elapsed()
-            fresh = sum(
+            fresh_summaries = sum(
                 now - summary.received_at < PEER_LOAD_TTL for summary in edge.load_tracker.peer_summaries.values()
             )
-            parts.append(fresh / max(len(self.edges) - 1, 1))
-        return statistics.mean(parts)
+            shares.append(fresh_summaries / max(len(self.edges) - 1, 1))
+        return statistics.mean(shares)
 
 
-def figures(*, meters: list[Meter], span_s: float) -> dict[str, Any]:
-    """Means of the processes of one role, a second."""
-    many = len(meters) * span_s
+def mean_rates(*, meters: list[Meter], span_s: float) -> dict[str, Any]:
+    """Returns the rates per process and second, averaged over the processes of one role."""
+    process_seconds = len(meters) * span_s
     kinds = sorted({kind for meter in meters for kind in (*meter.sent, *meter.received)})
     return {
-        "out_per_s": sum(meter.sent.total() for meter in meters) / many,
-        "in_per_s": sum(meter.received.total() for meter in meters) / many,
-        "out_bytes_per_s": sum(meter.sent_bytes.total() for meter in meters) / many,
-        "in_bytes_per_s": sum(meter.received_bytes.total() for meter in meters) / many,
-        "busy_percent": 100 * sum(meter.busy_s for meter in meters) / many,
+        "out_per_s": sum(meter.sent.total() for meter in meters) / process_seconds,
+        "in_per_s": sum(meter.received.total() for meter in meters) / process_seconds,
+        "out_bytes_per_s": sum(meter.sent_bytes.total() for meter in meters) / process_seconds,
+        "in_bytes_per_s": sum(meter.received_bytes.total() for meter in meters) / process_seconds,
+        "busy_percent": 100 * sum(meter.busy_s for meter in meters) / process_seconds,
         "kinds": {
             kind: {
-                "out_per_s": sum(meter.sent[kind] for meter in meters) / many,
-                "out_bytes_per_s": sum(meter.sent_bytes[kind] for meter in meters) / many,
-                "in_per_s": sum(meter.received[kind] for meter in meters) / many,
-                "in_bytes_per_s": sum(meter.received_bytes[kind] for meter in meters) / many,
+                "out_per_s": sum(meter.sent[kind] for meter in meters) / process_seconds,
+                "out_bytes_per_s": sum(meter.sent_bytes[kind] for meter in meters) / process_seconds,
+                "in_per_s": sum(meter.received[kind] for meter in meters) / process_seconds,
+                "in_bytes_per_s": sum(meter.received_bytes[kind] for meter in meters) / process_seconds,
             }
             for kind in kinds
         },
@@ -316,14 +352,18 @@
 
 
 @contextmanager
-def fleet(*, size: Size, seed: int, words: str) -> Iterator[GaugeFleet]:
+def simulated_fleet(*, size: Size, seed: int, adapter_path: str) -> Iterator[SimulatedFleet]:
+    """Provides a fleet in a virtual-time world of its own, with no daemon started yet."""
     with MeteredWorld(seed=seed, linkUs=1500).open() as world:
-        yield GaugeFleet(world=world, size=size, protocol=load_protocol(path=words))
+        yield SimulatedFleet(world=world, size=size, protocol=load_protocol_adapter(path=adapter_path))
 
 
 @contextmanager
-def uncollected() -> Iterator[None]:
-    """Without cyclic garbage collection: one over a whole fleet would be charged to whichever daemon runs then."""
+def gc_disabled() -> Iterator[None]:
+    """Disables cyclic garbage collection.
+
+    A collection covers the whole fleet, but its processor time would be counted for the daemon that happens to run.
+    """
     gc.collect()
     gc.disable()
     try:
@@ -332,58 +372,63 @@
         gc.enable()
 
 
-def measure(*, size: Size, seed: int, seconds: float, words: str) -> dict[str, Any]:
-    """One run: all figures by role."""
-    began_s = time.process_time()
-    with uncollected(), fleet(size=size, seed=seed, words=words) as made:
-        join = made.up()
-        made.operator.sleep(wait=ms(1500))
-        join_list_calls = made.list_calls
-        made.reset()
-        end = made.world.now() + timedelta(seconds=seconds)
-        taken = 0
+def measure(*, size: Size, seed: int, seconds: float, adapter_path: str) -> dict[str, Any]:
+    """Runs one fleet and returns the record of the run: rates and state sizes by role, and the cost of one change.
+
+    `seconds` is the length of the measurement in virtual time.
+    """
+    cpu_start_s = time.process_time()
+    with gc_disabled(), simulated_fleet(size=size, seed=seed, adapter_path=adapter_path) as fleet:
+        join_time = fleet.start()
+        fleet.operator_host.sleep(wait=ms(1500))
+        join_list_calls = fleet.list_calls
+        fleet.reset_meters()
+        end = fleet.world.now() + timedelta(seconds=seconds)
+        changes_submitted = 0
         if size.changes_per_day:
-            gap = timedelta(days=1) / size.changes_per_day
-            while made.world.now() + gap <= end:
-                made.put()
-                taken += 1
-                made.operator.sleep(wait=gap)
-        made.operator.sleep(wait=max(end - made.world.now(), timedelta()))
-        roles = made.roles()
-        told: dict[str, Any] = {}
+            change_interval = timedelta(days=1) / size.changes_per_day
+            while fleet.world.now() + change_interval <= end:
+                fleet.put_next_config()
+                changes_submitted += 1
+                fleet.operator_host.sleep(wait=change_interval)
+        fleet.operator_host.sleep(wait=max(end - fleet.world.now(), timedelta()))
+        roles = fleet.roles()
+        role_rates: dict[str, Any] = {}
         for role, names in roles.items():
-            told[role] = figures(meters=[made.hosts[name].meter for name in names], span_s=seconds)
-            told[role]["state_bytes"] = made.state_bytes(name=names[0])
-        fresh = made.told_part()
-        in_sight = statistics.mean(len(core.agreement.core_cards()) for core in made.cores.values())
-        made.reset()
-        change_began = made.world.now()
-        made.put()
-        acknowledged = made.world.now() - change_began
-        made.wait_until(what="in_force", limit=FORCE_LIMIT)
-        in_force = made.world.now() - change_began
-        change = {}
+            role_rates[role] = mean_rates(meters=[fleet.hosts[name].meter for name in names], span_s=seconds)
+            role_rates[role]["state_bytes"] = fleet.state_bytes(name=names[0])
+        mean_fresh_share = fleet.fresh_load_share()
+        mean_cores_in_sight = statistics.mean(len(core.agreement.core_cards()) for core in fleet.cores.values())
+        fleet.reset_meters()
+        change_start = fleet.world.now()
+        fleet.put_next_config()
+        time_to_acknowledge = fleet.world.now() - change_start
+        fleet.wait_until(condition="config_active_everywhere", timeout=ACTIVATION_TIMEOUT)
+        time_to_activate = fleet.world.now() - change_start
+        change_rates = {}
         for role, names in roles.items():
-            change[role] = figures(meters=[made.hosts[name].meter for name in names], span_s=in_force.total_seconds())
-            del change[role]["kinds"]
-        operator = made.operator.meter
+            change_rates[role] = mean_rates(
+                meters=[fleet.hosts[name].meter for name in names], span_s=time_to_activate.total_seconds()
+            )
+            del change_rates[role]["kinds"]
+        operator_meter = fleet.operator_host.meter
         return {
             "size": dataclasses.asdict(size),
             "seed": seed,
             "seconds": seconds,
-            "join_ms": join / ms(1),
+            "join_ms": join_time / ms(1),
             "join_list_calls": join_list_calls,
-            "cores_in_sight": in_sight,
-            "changes_taken": taken,
-            "roles": told,
-            "told_part": fresh,
-            "acknowledged_ms": acknowledged / ms(1),
-            "in_force_ms": in_force / ms(1),
-            "change": change,
-            "operator_bytes": operator.sent_bytes.total() + operator.received_bytes.total(),
+            "cores_in_sight": mean_cores_in_sight,
+            "changes_taken": changes_submitted,
+            "roles": role_rates,
+            "told_part": mean_fresh_share,
+            "acknowledged_ms": time_to_acknowledge / ms(1),
+            "in_force_ms": time_to_activate / ms(1),
+            "change": change_rates,
+            "operator_bytes": operator_meter.sent_bytes.total() + operator_meter.received_bytes.total(),
             "configuration_bytes": len(
-                made.protocol.render_config(table=configuration(size=size, version=made.version))
+                fleet.protocol.render_config(table=build_route_table(size=size, version=fleet.version))
             ),
-            "crashes": made.world.crashes[:5],
-            "whole_run_s": time.process_time() - began_s,
+            "crashes": fleet.world.crashes[:5],
+            "whole_run_s": time.process_time() - cpu_start_s,
         }
--- a/dockmux/scale_model/meter.py
+++ b/dockmux/scale_model/meter.py
@@ -1,4 +1,4 @@
-"""Counts what each simulated process sends, receives and computes."""
+"""Measures the messages, bytes and processor time of each simulated process."""
 
 import dataclasses
 import heapq
@@ -19,21 +19,24 @@
 from dockmux.simulator.virtual_hub import VirtualHub
 from dockmux.simulator.world import GRAVEYARD, SimDatagrams, SimHost, World
 
-MESSAGE = re.compile(rb'\d+:\{"type":"(\w+)"')
-HTTP = "HTTP"
+MESSAGE_START = re.compile(rb'\d+:\{"type":"(\w+)"')
+HTTP_KIND = "HTTP"
 
 
 def message_type(*, data: bytes) -> str | None:
-    """The type of the message that begins here; None within one."""
-    found = MESSAGE.match(data)
+    """Returns the type of the message that begins at the start of `data`, or None inside a message."""
+    found = MESSAGE_START.match(data)
     return found[1].decode() if found else None
 
 
 @dataclasses.dataclass(kw_only=True)
 class Meter:
-    """One process's counts since they were last reset. Invariants: bytes are what daemons hand to their sockets and
-    take from them, netstrings and HTTP heads included, what lies below (IP, UDP, TCP) not; `busy_s` is processor time
-    of the tasks of this process, with the simulator's part of each send and receive."""
+    """The counts of one process since the last reset, by message type.
+
+    Invariants: bytes are counted at the socket interface, including netstring framing and HTTP headers but not IP, UDP
+    and TCP headers; `busy_s` is the processor time of this process's tasks, including the simulator's part of each send
+    and receive.
+    """
 
     sent: Counter[str] = dataclasses.field(default_factory=Counter)
     sent_bytes: Counter[str] = dataclasses.field(default_factory=Counter)
@@ -42,65 +45,70 @@
     busy_s: float = 0.0
 
     def reset(self) -> None:
-        for counted in (self.sent, self.sent_bytes, self.received, self.received_bytes):
-            counted.clear()
+        for counter in (self.sent, self.sent_bytes, self.received, self.received_bytes):
+            counter.clear()
         self.busy_s = 0.0
 
 
 class MeteredHub(VirtualHub):
-    """Every task is resumed from here and comes back here, so the processor time between is its process's own."""
+    """A hub that measures processor time: it resumes every task and regains control when the task yields."""
 
     def fire_timers(self, when: float) -> None:
         clock = time.process_time
-        # As the hub below does it, with the two readings around each call.
+        # Same loop as in VirtualHub, with a processor time reading before and after each call.
         while self.timers and self.timers[0][0] <= when:
             _, _, timer = heapq.heappop(self.timers)
             if timer.called:
                 self.canceled -= 1
                 continue
-            place = timer.place
-            if place is None:
+            host = timer.place
+            if host is None:
                 timer()
                 continue
-            if not place.alive:
+            if not host.alive:
                 continue
-            if place.frozen:
-                place.parked.append(timer)
+            if host.frozen:
+                host.parked.append(timer)
                 continue
             began_s = clock()
             timer()
-            place.meter.busy_s += clock() - began_s
+            host.meter.busy_s += clock() - began_s
 
 
 class MeteredStream(SimStream):
-    """Invariant: `kind` is the type of the message whose bytes were last sent here, `kind_in` of the last received."""
+    """A stream that counts messages and bytes by message type.
+
+    Invariant: `sent_kind` is the type of the message whose bytes were last sent, `received_kind` of the last received.
+    """
 
     def __init__(self, **keywords: Any) -> None:
         super().__init__(**keywords)
-        self.kind = self.kind_in = HTTP
+        self.sent_kind = self.received_kind = HTTP_KIND
 
     def send(self, data: Any) -> int:
         count = super().send(data)
         meter = self.host.meter
-        begun = message_type(data=bytes(data[:60]))
-        self.kind = begun or self.kind
-        if begun or self.kind == HTTP:
-            meter.sent[self.kind] += 1
-        meter.sent_bytes[self.kind] += count
+        new_kind = message_type(data=bytes(data[:60]))
+        self.sent_kind = new_kind or self.sent_kind
+        if new_kind or self.sent_kind == HTTP_KIND:
+            meter.sent[self.sent_kind] += 1
+        meter.sent_bytes[self.sent_kind] += count
         return count
 
     def recv(self, size: int) -> bytes:
         data = super().recv(size)
         meter = self.host.meter
-        begun = message_type(data=data[:60])
-        self.kind_in = begun or self.kind_in
-        if begun or self.kind_in == HTTP:
-            meter.received[self.kind_in] += 1
-        meter.received_bytes[self.kind_in] += len(data)
+        new_kind = message_type(data=data[:60])
+        self.received_kind = new_kind or self.received_kind
+        if new_kind or self.received_kind == HTTP_KIND:
+            meter.received[self.received_kind] += 1
+        meter.received_bytes[self.received_kind] += len(data)
         return data
 
 
 class MeteredDatagrams(SimDatagrams):
+    """A UDP socket that counts datagrams and bytes by message type."""
+
     def send(self, *, address: str, data: bytes) -> None:
         kind = message_type(data=data[:60])
         self.host.meter.sent[kind] += 1
@@ -108,14 +116,16 @@
         super().send(address=address, data=data)
 
     def receive(self) -> tuple[bytes, str]:
-        data, label = super().receive()
+        data, sender = super().receive()
         kind = message_type(data=data[:60])
         self.host.meter.received[kind] += 1
         self.host.meter.received_bytes[kind] += len(data)
-        return data, label
+        return data, sender
 
 
 class MeteredHost(SimHost):
+    """A process whose sockets count in its meter."""
+
     def __init__(self, **keywords: Any) -> None:
         super().__init__(**keywords)
         self.meter = Meter()
@@ -133,7 +143,7 @@
 
 
 class MeteredWorld(World):
-    """Invariant: every process in it has a meter."""
+    """A world in which every process is a MeteredHost."""
 
     @contextmanager
     def open(self) -> Iterator["MeteredWorld"]:
@@ -157,23 +167,26 @@
 
 
 def deep_size(*, roots: list[Any]) -> int:
-    """Bytes of the objects that can be reached from these through containers and plain attributes; each once."""
+    """Returns the size in bytes of all objects reachable from `roots` through containers and instance attributes.
+
+    Each object counts once; classes, callables and hosts do not count.
+    """
     seen: set[int] = set()
-    left = list(roots)
+    pending = list(roots)
     total = 0
-    while left:
-        item = left.pop()
+    while pending:
+        item = pending.pop()
         if id(item) in seen or isinstance(item, (type, SimHost)) or callable(item):
             continue
         seen.add(id(item))
         total += sys.getsizeof(item)
         if isinstance(item, dict):
-            left.extend(item.keys())
-            left.extend(item.values())
+            pending.extend(item.keys())
+            pending.extend(item.values())
         elif isinstance(item, (list, tuple, set, frozenset)):
-            left.extend(item)
+            pending.extend(item)
         elif not isinstance(item, (str, bytes, int, float)):
-            left.extend(getattr(item, "__dict__", {}).values())
+            pending.extend(getattr(item, "__dict__", {}).values())
             if hasattr(item, "tolist"):
-                left.extend(item.tolist())
+                pending.extend(item.tolist())
     return total
--- a/dockmux/scale_model/program.py
+++ b/dockmux/scale_model/program.py
@@ -1,4 +1,4 @@
-"""The gauge's command: steps sizes one at a time, some runs each, and writes the slopes."""
+"""The `gauge` command: varies one fleet size at a time, with several runs each, and reports how the costs grow."""
 
 import argparse
 import dataclasses
@@ -9,99 +9,113 @@
 from pathlib import Path
 
 from dockmux.scale_model.fleet import Size, measure
-from dockmux.scale_model.recovery import EVENTS, recover
-from dockmux.scale_model.slopes import listing, slopes, table
+from dockmux.scale_model.recovery import EVENTS, measure_recovery
+from dockmux.scale_model.slopes import compute_slopes, recovery_table, slope_table
 
 
-def numbers(text: str) -> list[int]:
+def parse_int_list(text: str) -> list[int]:
+    """Parses a comma-separated list of integers."""
     return [int(part) for part in text.split(",")] if text else []
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Runs the command and returns its exit code: 1 if any run failed, else 0."""
     parser = argparse.ArgumentParser(
-        prog="gauge", description="Plays fleets of given sizes on virtual time and tells what control costs by role."
+        prog="gauge", description="Simulates fleets of given sizes on virtual time and reports control cost by role."
     )
-    parser.add_argument("--daemons", type=numbers, default=[], help="data daemons, stepped: 12,50,100,200,410")
-    parser.add_argument("--engines", type=numbers, default=[], help="engines, stepped at --at daemons")
-    parser.add_argument("--tenants", type=numbers, default=[], help="tenants with routes of their own, stepped so")
-    parser.add_argument("--changes", type=numbers, default=[], help="configurations a day, stepped so")
-    parser.add_argument("--events", default="", help=f"recovery at --at daemons, of: {', '.join(EVENTS)}")
-    parser.add_argument("--at", type=int, default=50, help="daemons while another size is stepped (default 50)")
-    parser.add_argument("--base-engines", type=int, default=610, help="engines while they are not stepped")
+    parser.add_argument(
+        "--daemons", type=parse_int_list, default=[], help="numbers of data daemons to run, such as 12,50,100,200,410"
+    )
+    parser.add_argument(
+        "--engines", type=parse_int_list, default=[], help="numbers of engines to run, with --at daemons"
+    )
+    parser.add_argument(
+        "--tenants", type=parse_int_list, default=[], help="numbers of tenants with their own routes to run, likewise"
+    )
+    parser.add_argument(
+        "--changes", type=parse_int_list, default=[], help="numbers of configuration changes a day to run, likewise"
+    )
+    parser.add_argument("--events", default="", help=f"recovery events to run with --at daemons: {', '.join(EVENTS)}")
+    parser.add_argument("--at", type=int, default=50, help="data daemons while another size varies (default 50)")
+    parser.add_argument("--base-engines", type=int, default=610, help="engines while another size varies (default 610)")
     parser.add_argument("--cores", type=int, default=5, help="control daemons (default 5)")
-    parser.add_argument("--runs", type=int, default=3, help="runs a size, with seeds from --seed on (default 3)")
-    parser.add_argument("--seed", type=int, default=1, help="the first seed (default 1)")
-    parser.add_argument("--seconds", type=float, default=3, help="virtual seconds that a fleet is watched (default 3)")
     parser.add_argument(
-        "--words", default="platform/platform_adapter.py", help="the file of the platform's names and formats"
+        "--runs", type=int, default=3, help="runs for each size, with consecutive seeds from --seed (default 3)"
+    )
+    parser.add_argument("--seed", type=int, default=1, help="first seed (default 1)")
+    parser.add_argument(
+        "--seconds", type=float, default=3, help="virtual seconds of a measurement or partition (default 3)"
     )
-    parser.add_argument("--jobs", type=int, default=2, help="processes at a time (default 2)")
-    parser.add_argument("--out", default="", help="writes FILE.json and FILE.md besides printing the tables")
+    parser.add_argument("--words", default="platform/platform_adapter.py", help="Python file of the platform adapter")
+    parser.add_argument("--jobs", type=int, default=2, help="parallel processes (default 2)")
+    parser.add_argument("--out", default="", help="also write the results to OUT.json and OUT.md")
     parsed = parser.parse_args(argv)
     base = Size(daemons=parsed.at, engines=parsed.base_engines, cores=parsed.cores)
-    steps = {
+    values_by_size = {
         "daemons": parsed.daemons, "engines": parsed.engines, "tenants": parsed.tenants,
         "changes_per_day": parsed.changes,
     }  # fmt: skip
     seeds = range(parsed.seed, parsed.seed + parsed.runs)
-    made: dict[str, list[dict]] = {stepped: [] for stepped, sizes in steps.items() if sizes}
+    runs: dict[str, list[dict]] = {stepped: [] for stepped, sizes in values_by_size.items() if sizes}
     events = parsed.events.split(",") if parsed.events else []
-    if not (made or events) or not set(events) <= set(EVENTS):
-        parser.error("name sizes to step, as --daemons 12,50,100, or events")
+    if not (runs or events) or not set(events) <= set(EVENTS):
+        parser.error("give sizes to vary, such as --daemons 12,50,100, or recovery events")
     context = multiprocessing.get_context("spawn")
-    # A process a run: virtual time is a whole process's, and so is what a run leaves behind.
+    # One process per run: virtual time applies to the whole process, and a run leaves state behind in its process.
     with ProcessPoolExecutor(max_workers=parsed.jobs, max_tasks_per_child=1, mp_context=context) as pool:
         futures = [
             (stepped, pool.submit(
                 measure, size=dataclasses.replace(base, **{stepped: size}), seed=seed, seconds=parsed.seconds,
-                words=parsed.words,
+                adapter_path=parsed.words,
             ))
-            for stepped in made
-            for size in steps[stepped]
+            for stepped in runs
+            for size in values_by_size[stepped]
             for seed in seeds
         ]  # fmt: skip
-        recoveries = [
+        recovery_futures = [
             ("events", pool.submit(
-                recover, event=event, size=base, seed=seed, seconds=parsed.seconds, words=parsed.words
+                measure_recovery, event=event, size=base, seed=seed, seconds=parsed.seconds, adapter_path=parsed.words
             ))
             for event in events
             for seed in seeds
         ]  # fmt: skip
         failed = 0
-        recovered = []
-        for stepped, future in futures + recoveries:
+        recovery_runs = []
+        for stepped, future in futures + recovery_futures:
             try:
                 run = future.result()
             except Exception as error:
                 failed += 1
-                print(f"a run of {stepped} failed: {type(error).__name__}: {error}", file=sys.stderr, flush=True)
+                print(f"run for {stepped} failed: {type(error).__name__}: {error}", file=sys.stderr, flush=True)
                 continue
             if stepped == "events":
-                recovered.append(run)
+                recovery_runs.append(run)
                 print(json.dumps(run), file=sys.stderr, flush=True)
                 continue
-            made[stepped].append(run)
+            runs[stepped].append(run)
             print(
-                f"{stepped} {run['size'][stepped]}, seed {run['seed']}: {run['whole_run_s']:.0f} s, "
-                f"in force {run['in_force_ms']:.0f} ms",
+                f"{stepped} {run['size'][stepped]}, seed {run['seed']}: {run['whole_run_s']:.0f} s of CPU time, "
+                f"configuration active after {run['in_force_ms']:.0f} ms",
                 file=sys.stderr, flush=True,
             )  # fmt: skip
-    pages = []
-    found = {stepped: slopes(stepped=stepped, runs=runs) for stepped, runs in made.items() if runs}
-    for stepped, rows in found.items():
-        pages.append(f"## {stepped}\n\n{table(found=rows)}\n")
+    sections = []
+    slopes_by_size = {
+        stepped: compute_slopes(stepped=stepped, runs=step_runs) for stepped, step_runs in runs.items() if step_runs
+    }
+    for stepped, rows in slopes_by_size.items():
+        sections.append(f"## {stepped}\n\n{slope_table(slopes=rows)}\n")
     for event in events:
-        rows = [run for run in recovered if run["event"] == event]
-        pages.append(f"## {event}\n\n{listing(rows=rows)}\n")
-    print("\n".join(pages))
+        rows = [run for run in recovery_runs if run["event"] == event]
+        sections.append(f"## {event}\n\n{recovery_table(rows=rows)}\n")
+    print("\n".join(sections))
     if parsed.out:
-        told = {
-            "runs": made,
-            "recovered": recovered,
-            "slopes": {s: [dataclasses.asdict(row) for row in rows] for s, rows in found.items()},
+        record = {
+            "runs": runs,
+            "recovered": recovery_runs,
+            "slopes": {s: [dataclasses.asdict(row) for row in rows] for s, rows in slopes_by_size.items()},
         }
-        Path(parsed.out + ".json").write_text(json.dumps(told, indent=1) + "\n")
-        Path(parsed.out + ".md").write_text("\n".join(pages))
+        Path(parsed.out + ".json").write_text(json.dumps(record, indent=1) + "\n")
+        Path(parsed.out + ".md").write_text("\n".join(sections))
     return 1 if failed else 0
 
 
--- a/dockmux/scale_model/recovery.py
+++ b/dockmux/scale_model/recovery.py
@@ -1,4 +1,4 @@
-"""What a fleet needs to come back: a zone that is gone, regions apart, a rolling replacement of all daemons."""
+"""Measures recovery from the loss of a zone, a partition between regions, and a rolling replacement of all daemons."""
 
 import dataclasses
 import statistics
@@ -6,183 +6,185 @@
 from typing import Any
 
 from dockmux.runtime.time_units import ms
-from dockmux.scale_model.fleet import GaugeFleet, Size, fleet, uncollected
+from dockmux.scale_model.fleet import SimulatedFleet, Size, gc_disabled, simulated_fleet
 
 EVENTS = ("zone", "region", "rolling")
-PUT_AGAIN = timedelta(milliseconds=100)
-LIMIT = timedelta(seconds=60)
+PUT_RETRY_INTERVAL = timedelta(milliseconds=100)
+RECOVERY_TIMEOUT = timedelta(seconds=60)
 
 
-def wait_in_force(*, made: GaugeFleet, names: list[str]) -> None:
-    began = made.world.now()
+def wait_until_active(*, fleet: SimulatedFleet, names: list[str]) -> None:
+    """Waits until the named data daemons use the newest configuration."""
+    start_time = fleet.world.now()
     while not all(
-        made.edges[n].config_tracker.table and made.edges[n].config_tracker.table.version == made.version for n in names
+        fleet.edges[n].config_tracker.table and fleet.edges[n].config_tracker.table.version == fleet.version
+        for n in names
     ):
-        if made.world.now() - began > LIMIT:
-            raise TimeoutError(f"version {made.version} is not in force")
-        made.operator.sleep(wait=ms(10))
+        if fleet.world.now() - start_time > RECOVERY_TIMEOUT:
+            raise TimeoutError(f"version {fleet.version} is not active on all named daemons")
+        fleet.operator_host.sleep(wait=ms(10))
 
 
-def put_until_taken(*, made: GaugeFleet, core: str) -> timedelta:
-    """How long an operator tries until a configuration is acknowledged."""
-    began = made.world.now()
-    made.version += 1
+def put_until_acknowledged(*, fleet: SimulatedFleet, core: str) -> timedelta:
+    """Retries a configuration change until it is acknowledged, and returns how long this took."""
+    start_time = fleet.world.now()
+    fleet.version += 1
     while True:
         try:
-            made.send(core=core)
-            return made.world.now() - began
+            fleet.post_config(core=core)
+            return fleet.world.now() - start_time
         except OSError:
-            if made.world.now() - began > LIMIT:
+            if fleet.world.now() - start_time > RECOVERY_TIMEOUT:
                 raise
-            made.operator.sleep(wait=PUT_AGAIN)
-
-
-def lost(*, made: GaugeFleet, names: list[str]) -> timedelta:
-    """How long until none of these is anybody's peer."""
-    began = made.world.now()
-    gone = {made.edges[name].settings.address for name in names}
-    left = [edge for name, edge in made.edges.items() if name not in names]
-    while any(gone & {card.address for card in edge.peers.live_cards()} for edge in left):
-        if made.world.now() - began > LIMIT:
-            raise TimeoutError("the lost are still peers")
-        made.operator.sleep(wait=ms(50))
-    return made.world.now() - began
-
-
-def bytes_of(*, made: GaugeFleet, kind: str, names: list[str]) -> float:
-    """Bytes of one type of message that each of these has received since the last reset."""
-    return statistics.mean(made.hosts[name].meter.received_bytes[kind] for name in names)
-
-
-def zone(*, made: GaugeFleet) -> dict[str, Any]:
-    """Every machine of the first zone stops at once, and comes back 15 s later."""
-    size = made.size
-    cores = [place for place in range(size.cores) if place % size.zones == 0]
-    edges = [place for place in range(size.daemons) if place % size.zones == 0]
-    names = [made.edge_name(place=place) for place in edges]
-    left = [name for name in made.edges if name not in names]
-    for place in cores:
-        made.hosts[f"core-{place}"].kill()
+            fleet.operator_host.sleep(wait=PUT_RETRY_INTERVAL)
+
+
+def time_until_removed(*, fleet: SimulatedFleet, names: list[str]) -> timedelta:
+    """Returns how long it takes until no remaining daemon lists any of the named ones as a live peer."""
+    start_time = fleet.world.now()
+    lost_addresses = {fleet.edges[name].settings.address for name in names}
+    remaining = [edge for name, edge in fleet.edges.items() if name not in names]
+    while any(lost_addresses & {card.address for card in edge.peers.live_cards()} for edge in remaining):
+        if fleet.world.now() - start_time > RECOVERY_TIMEOUT:
+            raise TimeoutError("lost daemons are still listed as live peers")
+        fleet.operator_host.sleep(wait=ms(50))
+    return fleet.world.now() - start_time
+
+
+def mean_received_bytes(*, fleet: SimulatedFleet, kind: str, names: list[str]) -> float:
+    """Returns the mean number of bytes of one message type that the named daemons received since the last reset."""
+    return statistics.mean(fleet.hosts[name].meter.received_bytes[kind] for name in names)
+
+
+def run_zone_loss(*, fleet: SimulatedFleet) -> dict[str, Any]:
+    """Kills every daemon of the first zone at once and starts them again at least 15 s later."""
+    size = fleet.size
+    cores = [index for index in range(size.cores) if index % size.zones == 0]
+    edges = [index for index in range(size.daemons) if index % size.zones == 0]
+    names = [fleet.edge_name(index=index) for index in edges]
+    remaining = [name for name in fleet.edges if name not in names]
+    for index in cores:
+        fleet.hosts[f"core-{index}"].kill()
     for name in names:
-        made.hosts[name].kill()
-    taken = put_until_taken(made=made, core="core-1")
-    began = made.world.now()
-    wait_in_force(made=made, names=left)
-    in_force = made.world.now() - began
-    forgotten = lost(made=made, names=names) + taken + in_force
-    made.operator.sleep(wait=timedelta(seconds=15))
-    made.reset()
-    calls = made.list_calls
-    for place in cores:
-        made.start_core(place=place)
-    for place in edges:
-        made.forget_edge(place=place)
-        made.start_edge(place=place)
-    back = made.wait_until(what="joined", limit=LIMIT)
+        fleet.hosts[name].kill()
+    time_to_acknowledge = put_until_acknowledged(fleet=fleet, core="core-1")
+    start_time = fleet.world.now()
+    wait_until_active(fleet=fleet, names=remaining)
+    time_to_activate = fleet.world.now() - start_time
+    time_to_remove = time_until_removed(fleet=fleet, names=names) + time_to_acknowledge + time_to_activate
+    fleet.operator_host.sleep(wait=timedelta(seconds=15))
+    fleet.reset_meters()
+    list_calls_before = fleet.list_calls
+    for index in cores:
+        fleet.start_core(index=index)
+    for index in edges:
+        fleet.remove_edge(index=index)
+        fleet.start_edge(index=index)
+    time_to_rejoin = fleet.wait_until(condition="all_joined", timeout=RECOVERY_TIMEOUT)
     return {
         "daemons_lost": len(edges),
-        "configuration_taken_again_ms": taken / ms(1),
-        "then_in_force_ms": in_force / ms(1),
-        "lost_forgotten_ms": forgotten / ms(1),
-        "back_ms": back / ms(1),
-        "list_calls_at_return": made.list_calls - calls,
-        "news_bytes_a_daemon_at_return": bytes_of(made=made, kind="NewsReply", names=left),
+        "configuration_taken_again_ms": time_to_acknowledge / ms(1),
+        "then_in_force_ms": time_to_activate / ms(1),
+        "lost_forgotten_ms": time_to_remove / ms(1),
+        "back_ms": time_to_rejoin / ms(1),
+        "list_calls_at_return": fleet.list_calls - list_calls_before,
+        "news_bytes_a_daemon_at_return": mean_received_bytes(fleet=fleet, kind="NewsReply", names=remaining),
     }
 
 
-def region(*, made: GaugeFleet, apart: timedelta) -> dict[str, Any]:
-    """Two of five zones cannot reach the other three."""
-    size = made.size
-    near = {made.edges[name].settings.site for name in made.edges} - {"z0", "z1"}
-    sides: dict[bool, list[str]] = {True: [], False: []}
-    for daemon in (*made.cores.values(), *made.edges.values()):
-        sides[daemon.settings.site in near].append(daemon.settings.address.partition(":")[0])
-    for one in sides[True]:
-        for other in sides[False]:
-            made.world.cuts |= {(one, other), (other, one)}
-    majority = [name for name, edge in made.edges.items() if edge.settings.site in near]
-    minority = [name for name in made.edges if name not in majority]
-    before = made.version
-    taken = put_until_taken(made=made, core=f"core-{size.zones - 1}")
-    began = made.world.now()
-    wait_in_force(made=made, names=majority)
-    in_force = made.world.now() - began
-    made.operator.sleep(wait=apart)
-    ready = sum(made.edges[name].is_ready() for name in minority)
-    old = sum(made.edges[name].config_tracker.table.version == before for name in minority)
-    made.reset()
-    made.world.cuts.clear()
-    began = made.world.now()
-    wait_in_force(made=made, names=minority)
-    healed = made.world.now() - began
-    joined = made.wait_until(what="joined", limit=LIMIT) + healed
+def run_region_partition(*, fleet: SimulatedFleet, partition_duration: timedelta) -> dict[str, Any]:
+    """Partitions the zones z0 and z1 from the other three of five for at least `partition_duration`."""
+    size = fleet.size
+    majority_zones = {fleet.edges[name].settings.site for name in fleet.edges} - {"z0", "z1"}
+    ips_by_side: dict[bool, list[str]] = {True: [], False: []}
+    for daemon in (*fleet.cores.values(), *fleet.edges.values()):
+        ips_by_side[daemon.settings.site in majority_zones].append(daemon.settings.address.partition(":")[0])
+    for majority_ip in ips_by_side[True]:
+        for minority_ip in ips_by_side[False]:
+            fleet.world.cuts |= {(majority_ip, minority_ip), (minority_ip, majority_ip)}
+    majority = [name for name, edge in fleet.edges.items() if edge.settings.site in majority_zones]
+    minority = [name for name in fleet.edges if name not in majority]
+    old_version = fleet.version
+    time_to_acknowledge = put_until_acknowledged(fleet=fleet, core=f"core-{size.zones - 1}")
+    start_time = fleet.world.now()
+    wait_until_active(fleet=fleet, names=majority)
+    time_to_activate = fleet.world.now() - start_time
+    fleet.operator_host.sleep(wait=partition_duration)
+    ready = sum(fleet.edges[name].is_ready() for name in minority)
+    on_old_version = sum(fleet.edges[name].config_tracker.table.version == old_version for name in minority)
+    fleet.reset_meters()
+    fleet.world.cuts.clear()
+    start_time = fleet.world.now()
+    wait_until_active(fleet=fleet, names=minority)
+    time_to_heal = fleet.world.now() - start_time
+    time_to_join = fleet.wait_until(condition="all_joined", timeout=RECOVERY_TIMEOUT) + time_to_heal
     return {
         "daemons_apart": len(minority),
-        "apart_s": apart.total_seconds(),
-        "configuration_taken_ms": taken / ms(1),
-        "then_in_force_on_the_majority_side_ms": in_force / ms(1),
-        "ready_with_the_old_one_on_the_other_side": min(ready, old),
-        "in_force_after_healing_ms": healed / ms(1),
-        "all_know_all_after_healing_ms": joined / ms(1),
-        "news_bytes_a_daemon_at_healing": bytes_of(made=made, kind="NewsReply", names=list(made.edges)),
+        "apart_s": partition_duration.total_seconds(),
+        "configuration_taken_ms": time_to_acknowledge / ms(1),
+        "then_in_force_on_the_majority_side_ms": time_to_activate / ms(1),
+        "ready_with_the_old_one_on_the_other_side": min(ready, on_old_version),
+        "in_force_after_healing_ms": time_to_heal / ms(1),
+        "all_know_all_after_healing_ms": time_to_join / ms(1),
+        "news_bytes_a_daemon_at_healing": mean_received_bytes(fleet=fleet, kind="NewsReply", names=list(fleet.edges)),
     }
 
 
-def rolling(*, made: GaugeFleet) -> dict[str, Any]:
-    """Each data daemon is replaced, the next one when the last is ready, then each control daemon."""
-    made.reset()
-    calls = made.list_calls
-    began = made.world.now()
-    took: list[float] = []
-    for place in range(made.size.daemons):
-        name = made.edge_name(place=place)
-        made.hosts[name].kill()
-        made.forget_edge(place=place)
-        made.start_edge(place=place)
-        since = made.world.now()
-        while name not in made.edges or not (made.edges[name].is_ready() and made.edges[name].gossip.ready()):
-            if made.world.now() - since > LIMIT:
+def run_rolling_replacement(*, fleet: SimulatedFleet) -> dict[str, Any]:
+    """Replaces each data daemon, then each control daemon, one at a time, each once its predecessor is ready."""
+    fleet.reset_meters()
+    list_calls_before = fleet.list_calls
+    start_time = fleet.world.now()
+    ready_times_ms: list[float] = []
+    for index in range(fleet.size.daemons):
+        name = fleet.edge_name(index=index)
+        fleet.hosts[name].kill()
+        fleet.remove_edge(index=index)
+        fleet.start_edge(index=index)
+        started_at = fleet.world.now()
+        while name not in fleet.edges or not (fleet.edges[name].is_ready() and fleet.edges[name].gossip.ready()):
+            if fleet.world.now() - started_at > RECOVERY_TIMEOUT:
                 raise TimeoutError(f"{name} is not ready")
-            made.operator.sleep(wait=ms(10))
-        took.append((made.world.now() - since) / ms(1))
-    span = made.world.now() - began
-    # Those replaced early received for nearly the whole span; the meters of later ones began anew.
-    news = bytes_of(made=made, kind="NewsReply", names=[made.edge_name(place=0)])
-    core_took = []
-    for place in range(made.size.cores):
-        name = f"core-{place}"
-        made.hosts[name].kill()
-        del made.cores[name]
-        since = made.world.now()
-        made.start_core(place=place)
-        while name not in made.cores or not made.has_head():
-            if made.world.now() - since > LIMIT:
-                raise TimeoutError(f"{name} is not back in the chain")
-            made.operator.sleep(wait=ms(10))
-        core_took.append((made.world.now() - since) / ms(1))
-    taken = put_until_taken(made=made, core="core-1")
-    wait_in_force(made=made, names=list(made.edges))
+            fleet.operator_host.sleep(wait=ms(10))
+        ready_times_ms.append((fleet.world.now() - started_at) / ms(1))
+    total_time = fleet.world.now() - start_time
+    # Read from the first daemon replaced: each restart begins a new meter, and this one covers nearly the whole time.
+    news_bytes = mean_received_bytes(fleet=fleet, kind="NewsReply", names=[fleet.edge_name(index=0)])
+    rejoin_times_ms = []
+    for index in range(fleet.size.cores):
+        name = f"core-{index}"
+        fleet.hosts[name].kill()
+        del fleet.cores[name]
+        started_at = fleet.world.now()
+        fleet.start_core(index=index)
+        while name not in fleet.cores or not fleet.control_plane_ready():
+            if fleet.world.now() - started_at > RECOVERY_TIMEOUT:
+                raise TimeoutError(f"{name} has not rejoined the chain")
+            fleet.operator_host.sleep(wait=ms(10))
+        rejoin_times_ms.append((fleet.world.now() - started_at) / ms(1))
+    time_to_acknowledge = put_until_acknowledged(fleet=fleet, core="core-1")
+    wait_until_active(fleet=fleet, names=list(fleet.edges))
     return {
-        "ready_again_ms_median": statistics.median(took),
-        "ready_again_ms_max": max(took),
-        "span_ms": span / ms(1),
-        "list_calls": made.list_calls - calls,
-        "news_bytes_of_the_first_replaced": news,
-        "control_daemon_back_in_the_chain_ms_median": statistics.median(core_took),
-        "control_daemon_back_in_the_chain_ms_max": max(core_took),
-        "configuration_taken_after_ms": taken / ms(1),
+        "ready_again_ms_median": statistics.median(ready_times_ms),
+        "ready_again_ms_max": max(ready_times_ms),
+        "span_ms": total_time / ms(1),
+        "list_calls": fleet.list_calls - list_calls_before,
+        "news_bytes_of_the_first_replaced": news_bytes,
+        "control_daemon_back_in_the_chain_ms_median": statistics.median(rejoin_times_ms),
+        "control_daemon_back_in_the_chain_ms_max": max(rejoin_times_ms),
+        "configuration_taken_after_ms": time_to_acknowledge / ms(1),
     }
 
 
-def recover(*, event: str, size: Size, seed: int, seconds: float, words: str) -> dict[str, Any]:
-    """One event in one fleet; `seconds` is how long regions are apart."""
-    with uncollected(), fleet(size=size, seed=seed, words=words) as made:
-        made.up()
-        made.operator.sleep(wait=ms(1500))
+def measure_recovery(*, event: str, size: Size, seed: int, seconds: float, adapter_path: str) -> dict[str, Any]:
+    """Runs one event in a new fleet and returns its record; `seconds` is the length of the partition."""
+    with gc_disabled(), simulated_fleet(size=size, seed=seed, adapter_path=adapter_path) as fleet:
+        fleet.start()
+        fleet.operator_host.sleep(wait=ms(1500))
         if event == "zone":
-            told = zone(made=made)
+            result = run_zone_loss(fleet=fleet)
         elif event == "region":
-            told = region(made=made, apart=timedelta(seconds=seconds))
+            result = run_region_partition(fleet=fleet, partition_duration=timedelta(seconds=seconds))
         else:
-            told = rolling(made=made)
-        return {"event": event, "size": dataclasses.asdict(size), "seed": seed, "crashes": made.world.crashes} | told
+            result = run_rolling_replacement(fleet=fleet)
+        return {"event": event, "size": dataclasses.asdict(size), "seed": seed, "crashes": fleet.world.crashes} | result
