--- a/tools/hunting/day.py
+++ b/tools/day_generator/day.py
@@ -1,11 +1,11 @@
-"""What a day holds: faults, planned work and a closing fault."""
+"""Defines the content of a day: faults, planned work and a closing fault."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
 class Kind(StrEnum):
-    """The kinds of trouble that the bench knows by these names."""
+    """The kinds of fault and planned work that the bench supports; the values are the bench's names."""
 
     ACK_LOST = "ack_lost"
     AFTER_ACK_KILL = "after_ack_kill"
@@ -44,7 +44,7 @@
     SRV_SLOW = "srv_slow"
 
 
-ALWAYS_PLANNED = frozenset(
+PLANNED_KINDS = frozenset(
     {
         Kind.BAD_CONFIG,
         Kind.CONFIG_CHANGE,
@@ -60,8 +60,13 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Trouble:
-    """One entry of a day. Fields left out get the bench's default."""
+class ScheduledEvent:
+    """One fault or piece of planned work in a day.
+
+    `at_s` is in seconds from the start of the day; `for_s` is a duration and `gap_s` an interval, both in seconds.
+    `share` is a fraction of the possible targets, `count` a number, and `strength` the key `x` of a day file. Fields
+    that are None get the bench's default.
+    """
 
     kind: Kind
     at_s: float
@@ -75,16 +80,16 @@
 
     @property
     def planned(self) -> bool:
-        """Whether it is planned work and not a fault."""
-        return self.kind in ALWAYS_PLANNED or (self.kind is Kind.REPLACE_CORE and self.how == "planned")
+        """Whether the event is planned work rather than a fault."""
+        return self.kind in PLANNED_KINDS or (self.kind is Kind.REPLACE_CORE and self.how == "planned")
 
     @property
     def end_s(self) -> float:
-        """When it is over, as far as its own fields say."""
+        """End of the event in seconds from the start of the day; the start itself if no duration is given."""
         return self.at_s + (self.for_s or 0.0)
 
-    def table(self) -> dict[str, object]:
-        """The entry in the words of a day file."""
+    def to_table(self) -> dict[str, object]:
+        """Returns the entry under the keys of a day file, without the fields that are None."""
         fields: dict[str, object] = {
             "at": round(self.at_s, 2),
             "kind": str(self.kind),
@@ -100,42 +105,42 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Closing:
-    """The fault right after the last acknowledged change."""
+class ClosingFault:
+    """The fault injected right after the last acknowledged configuration change."""
 
     kind: str
     down_s: float
     how: str | None = None
 
-    def table(self) -> dict[str, object]:
-        """The closing fault in the words of a day file."""
+    def to_table(self) -> dict[str, object]:
+        """Returns the closing fault under the keys of a day file, without the fields that are None."""
         fields = {"kind": self.kind, "down_s": self.down_s, "how": self.how}
         return {name: value for name, value in fields.items() if value is not None}
 
 
 @dataclass(frozen=True, kw_only=True)
 class Day:
-    """One day to be played."""
+    """One day for the bench to run; empty `traffic` means the traffic of the site file."""
 
     name: str
     seed: int
     length_s: float
-    closing: Closing
-    troubles: tuple[Trouble, ...]
+    closing: ClosingFault
+    events: tuple[ScheduledEvent, ...]
     traffic: tuple[dict[str, object], ...] = ()
 
-    def table(self) -> dict[str, object]:
-        """The day in the words of a day file."""
-        ordered = sorted(self.troubles, key=lambda trouble: trouble.at_s)
-        table: dict[str, object] = {
+    def to_table(self) -> dict[str, object]:
+        """Returns the day under the keys of a day file, with its events in order of time."""
+        ordered = sorted(self.events, key=lambda event: event.at_s)
+        entry: dict[str, object] = {
             "name": self.name,
             "slot": "trouble",
             "seed": self.seed,
             "length_s": self.length_s,
-            "closing": self.closing.table(),
-            "plan": [trouble.table() for trouble in ordered if trouble.planned],
-            "faults": [trouble.table() for trouble in ordered if not trouble.planned],
+            "closing": self.closing.to_table(),
+            "plan": [event.to_table() for event in ordered if event.planned],
+            "faults": [event.to_table() for event in ordered if not event.planned],
         }
         if self.traffic:
-            table["traffic"] = list(self.traffic)
-        return table
+            entry["traffic"] = list(self.traffic)
+        return entry
