--- a/dockmux/native_proxy/__init__.py
+++ b/dockmux/native_proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane: admits, assigns, relays and watches."""
+"""The data plane of the product's own interface: admission, engine selection, calls to engines, streaming, metrics."""
--- a/dockmux/native_proxy/budget.py
+++ b/dockmux/native_proxy/budget.py
@@ -1,4 +1,4 @@
-"""Sends to engines, counted per service, and whether one more extra send is within its share."""
+"""Retry budget: limits extra sends to a percentage of the first sends of the same service."""
 
 import dataclasses
 from collections import deque
@@ -6,48 +6,49 @@
 
 from dockmux.runtime.event_journal import EventJournal, Projection
 
-WINDOW = timedelta(seconds=10)
+BUDGET_WINDOW = timedelta(seconds=10)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Sent:
-    """A leg of a request was sent to an engine; extra when it, or that leg, had been sent before."""
+class CallSent:
+    """A call was sent to an engine, at a monotonic time; `extra` if the request's call of that phase had been sent."""
 
     at: timedelta
     service: str
     extra: bool
 
 
-class Budget(Projection):
-    """Folded from the journal. Invariant: `first` and `extra` hold the send times of the last ten seconds,
-    by service, oldest first."""
+class RetryBudget(Projection):
+    """Folded from the journal. Invariant: `first_sends` and `extra_sends` map services to the send times of the last
+    ten seconds (BUDGET_WINDOW), oldest first."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.first: dict[str, deque[timedelta]] = {}
-        self.extra: dict[str, deque[timedelta]] = {}
+        self.first_sends: dict[str, deque[timedelta]] = {}
+        self.extra_sends: dict[str, deque[timedelta]] = {}
 
     def fold(self, *, event: object) -> None:
-        if isinstance(event, Sent):
-            kept = self.extra if event.extra else self.first
-            kept.setdefault(event.service, deque()).append(event.at)
+        if isinstance(event, CallSent):
+            sends = self.extra_sends if event.extra else self.first_sends
+            sends.setdefault(event.service, deque()).append(event.at)
 
-    def _count(self, *, kept: dict[str, deque[timedelta]], service: str, now: timedelta) -> int:
-        times = kept.get(service, deque())
-        while times and now - times[0] >= WINDOW:
+    def _count_recent(self, *, sends: dict[str, deque[timedelta]], service: str, now: timedelta) -> int:
+        times = sends.get(service, deque())
+        while times and now - times[0] >= BUDGET_WINDOW:
             times.popleft()
         return len(times)
 
     def allows(self, *, journal: EventJournal, service: str, percent: int, now: timedelta) -> bool:
-        """There is no least number per daemon: then the fleet's sum keeps to the share as well."""
+        """Whether one more extra send is within the percentage. There is no minimum per daemon, so that the fleet as a
+        whole stays within the percentage too."""
         journal.fold(projection=self)
-        first = self._count(kept=self.first, service=service, now=now)
-        extra = self._count(kept=self.extra, service=service, now=now)
+        first = self._count_recent(sends=self.first_sends, service=service, now=now)
+        extra = self._count_recent(sends=self.extra_sends, service=service, now=now)
         return (extra + 1) * 100 <= first * percent
 
 
-def test_extra_sends_keep_to_their_share_of_the_last_ten_seconds():
-    budget = Budget()
+def test_extra_sends_stay_within_their_percentage_of_the_last_ten_seconds():
+    budget = RetryBudget()
     journal = EventJournal(projections=[budget])
     second = timedelta(seconds=1)
 
@@ -55,12 +56,12 @@
         return budget.allows(journal=journal, service="s", percent=10, now=at * second)
 
     for at in range(20):
-        journal.append(event=Sent(at=at * second / 10, service="s", extra=False))
-    journal.append(event=Sent(at=second, service="other", extra=False))
+        journal.append(event=CallSent(at=at * second / 10, service="s", extra=False))
+    journal.append(event=CallSent(at=second, service="other", extra=False))
     assert allowed(at=2)
-    journal.append(event=Sent(at=2 * second, service="s", extra=True))
+    journal.append(event=CallSent(at=2 * second, service="s", extra=True))
     assert allowed(at=3)
-    journal.append(event=Sent(at=3 * second, service="s", extra=True))
+    journal.append(event=CallSent(at=3 * second, service="s", extra=True))
     assert not allowed(at=4)
-    assert not allowed(at=11)  # the first sends of the first second have left the window
+    assert not allowed(at=11)  # the first sends of the first second are outside the window
     assert not allowed(at=30)
--- a/dockmux/native_proxy/edge.py
+++ b/dockmux/native_proxy/edge.py
@@ -1,4 +1,4 @@
-"""One edge machine's daemon: user agents' streams in, engines' streams out."""
+"""Daemon of an edge machine: serves clients over HTTP and relays their requests to engines."""
 
 import contextlib
 import json
@@ -12,10 +12,10 @@
 from dockmux.clock.gossip_endpoint import GossipEndpoint
 from dockmux.clock.peer_table import PeerTable
 from dockmux.gossip.usage_gossip import UsageGossip
-from dockmux.native_proxy.follower import Follower
-from dockmux.native_proxy.request_record import RequestRecord, Step, not_refused
-from dockmux.native_proxy.stages import BUCKETS
-from dockmux.native_proxy.table import Table
+from dockmux.native_proxy.config_subscription import ConfigSubscription
+from dockmux.native_proxy.request_record import RequestRecord, Step, refusal_as_unknown
+from dockmux.native_proxy.request_table import RequestTable
+from dockmux.native_proxy.stage_durations import BUCKET_BOUNDS
 from dockmux.runtime import metrics, schemas
 from dockmux.runtime.config import Config
 from dockmux.runtime.config_tree import resolve
@@ -30,19 +30,19 @@
 from dockmux.runtime.task_group import TaskGroup
 from dockmux.runtime.time_units import ms
 
-IDENTITY = re.compile(r"^[A-Za-z0-9._:-]{1,128}$")
-# While a stream has nothing to give, so often it is looked whether its user agent is still there.
-LOOK_AT_CLIENT = timedelta(milliseconds=200)
-SWITCH_LIMIT = timedelta(milliseconds=800)
-ATTACH_LIMIT = timedelta(seconds=2)
+IDENTITY_PATTERN = re.compile(r"^[A-Za-z0-9._:-]{1,128}$")
+# How often a stream without new pieces checks whether its client is still connected.
+CLIENT_CHECK_INTERVAL = timedelta(milliseconds=200)
+CONFIG_SWITCH_TIMEOUT = timedelta(milliseconds=800)
+ATTACH_TIMEOUT = timedelta(seconds=2)
 
 
-class UserAgentLeft(OSError):
-    """Nobody reads the stream any more."""
+class ClientDisconnected(OSError):
+    """The client has closed the connection of its stream."""
 
 
 class Edge:
-    """Invariant: a request that is refused here has no record that could still be sent."""
+    """Invariant: a refused request has no record that could still be sent."""
 
     def __init__(self, *, host: Host, settings: Settings) -> None:
         self.host = host
@@ -58,117 +58,131 @@
 
     @contextlib.contextmanager
     def running(self) -> Iterator["Edge"]:
+        """Runs the daemon's sockets and tasks for the length of the context."""
         host, settings = self.host, self.settings
         with (
             host.datagrams(address=settings.address) as port,
             host.listen(address=settings.address) as listener,
-            host.listen(address=settings.http) as web_listener,
+            host.listen(address=settings.http) as http_listener,
             RpcClient(host=host) as rpc_client,
             EngineConnectionPool(host=host) as connection_pool,
             TaskGroup(host=host) as task_group,
         ):
             self.task_group = task_group
             self.gossip = GossipEndpoint(host=host, settings=settings, peers=self.peers, port=port)
-            self.follower = Follower(host=host, settings=settings, gossip=self.gossip, rpc_client=rpc_client)
+            self.config_subscription = ConfigSubscription(
+                host=host, settings=settings, gossip=self.gossip, rpc_client=rpc_client
+            )
             self.usage_gossip = UsageGossip(
                 host=host,
                 settings=settings,
                 gossip=self.gossip,
                 task_group=task_group,
                 connection_pool=connection_pool,
-                engine_list=self.follower,
+                engine_list=self.config_subscription,
             )
-            self.table = Table(
-                host=host, settings=settings, gossip=self.gossip, follower=self.follower,
+            self.table = RequestTable(
+                host=host, settings=settings, gossip=self.gossip, config_subscription=self.config_subscription,
                 usage_gossip=self.usage_gossip, connection_pool=connection_pool, rpc_client=rpc_client,
                 task_group=task_group, holder=self.holder,
             )  # fmt: skip
-            rpc_server = RpcServer(host=host, listener=listener, answers={NewsAsk: self.follower.on_news})
+            rpc_server = RpcServer(
+                host=host, listener=listener, answers={NewsAsk: self.config_subscription.answer_news}
+            )
             for task in (
-                rpc_server.run, self.gossip.run_receiving, self.gossip.run_clock_exchanges, self.follower.run,
-                self.usage_gossip.run, self.table.run,
+                rpc_server.run, self.gossip.run_receiving, self.gossip.run_clock_exchanges,
+                self.config_subscription.run, self.usage_gossip.run, self.table.run,
             ):  # fmt: skip
                 task_group.supervise(task=task)
-            task_group.supervise(task=serve, host=host, listener=web_listener, handler=self.handle_http)
+            task_group.supervise(task=serve, host=host, listener=http_listener, handler=self.handle_http)
             host.log(LogEvent.STARTED, role="edge", name=settings.name, address=settings.address)
             yield self
 
     def drain(self) -> int:
-        """Takes on nothing more; says how many requests are still open."""
+        """Stops admitting requests; returns the number of open ones."""
         self.draining = True
         return self.table.open
 
     # HTTP.
 
     def handle_http(self, exchange: HttpExchange) -> Iterable[bytes]:
+        """Dispatches a request by path."""
         if exchange.path.startswith("/lanes/"):
             if exchange.method != "POST":
                 return exchange.conclude(
                     outcome=Outcome(kind=OutcomeKind.BAD_METHOD, detail={"method": exchange.method})
                 )
-            return self._lane(exchange=exchange, lane=exchange.path[7:])
+            return self._handle_lane_request(exchange=exchange, lane=exchange.path[7:])
         if exchange.method == "GET" and exchange.path == "/clock":
             return exchange.reply(status=200, fields=self.gossip.report())
         if exchange.method == "GET" and exchange.path == "/metrics":
             values = {
                 "open": self.table.open,
-                "ready": self.follower.current() is not None,
-                "permitted": self.follower.permitted(),
+                "ready": self.config_subscription.current_config() is not None,
+                "permitted": self.config_subscription.lease_valid(),
                 "clock_bound_seconds": self.gossip.clock.bound().total_seconds(),
                 "peers": len(self.peers.live_cards()),
                 "tasks_failed": self.task_group.failed,
             }
-            staged = self.table.stages()
-            ends = [end.total_seconds() for end in BUCKETS]
+            durations = self.table.stages()
+            ends = [end.total_seconds() for end in BUCKET_BOUNDS]
             spreads = {
-                stage: metrics.Spread(ends=ends, counts=counts, total=staged.total[stage].total_seconds())
-                for stage, counts in staged.counts.items()
+                stage: metrics.Spread(ends=ends, counts=counts, total=durations.total[stage].total_seconds())
+                for stage, counts in durations.counts.items()
             }
             return metrics.page(exchange=exchange, values=values, outcomes=self.table.outcomes(), spreads=spreads)
         if exchange.method == "GET" and exchange.path == "/status":
             return exchange.reply(status=200, fields=self.status())
         return exchange.conclude(outcome=Outcome(kind=OutcomeKind.NOT_FOUND, detail={"path": exchange.path}))
 
-    def _lane(self, *, exchange: HttpExchange, lane: str) -> Iterable[bytes]:
-        body = self._body(exchange=exchange)
+    def _handle_lane_request(self, *, exchange: HttpExchange, lane: str) -> Iterable[bytes]:
+        """Validates and admits a request to a lane, or answers with the outcome of its refusal."""
+        body = self._parse_body(exchange=exchange)
         if isinstance(body, Outcome):
             return exchange.conclude(outcome=body)
-        named = exchange.header(name="Idempotency-Key")
-        identity = named or f"{self.host.random.getrandbits(128):032x}"
+        given_identity = exchange.header(name="Idempotency-Key")
+        identity = given_identity or f"{self.host.random.getrandbits(128):032x}"
         attempt = exchange.header(name="Dockmux-Attempt")
-        repeat = bool(named) and attempt != "1"
+        may_be_repeat = bool(given_identity) and attempt != "1"
         first = exchange.header(name="Dockmux-Resume-From") or "0"
-        wrong = []
-        if not IDENTITY.match(identity):
-            wrong.append({"path": "Idempotency-Key", "error": f"allowed: {IDENTITY.pattern}"})
+        errors = []
+        if not IDENTITY_PATTERN.match(identity):
+            errors.append({"path": "Idempotency-Key", "error": f"allowed: {IDENTITY_PATTERN.pattern}"})
         if not first.isdigit() or int(first) > 10_000:
-            wrong.append({"path": "Dockmux-Resume-From", "error": "allowed: a whole number up to 10000"})
+            errors.append({"path": "Dockmux-Resume-From", "error": "allowed: a whole number up to 10000"})
         if attempt and not attempt.isdigit():
-            wrong.append({"path": "Dockmux-Attempt", "error": "allowed: a whole number, 1 for the first"})
-        if wrong:
-            return exchange.conclude(outcome=Outcome(kind=OutcomeKind.BAD_FIELD, detail={"errors": wrong}))
-        config = Outcome(kind=OutcomeKind.DRAINING) if self.draining else self._config()
+            errors.append({"path": "Dockmux-Attempt", "error": "allowed: a whole number, 1 for the first"})
+        if errors:
+            return exchange.conclude(outcome=Outcome(kind=OutcomeKind.BAD_FIELD, detail={"errors": errors}))
+        config = Outcome(kind=OutcomeKind.DRAINING) if self.draining else self._wait_for_config()
         if isinstance(config, Outcome):
-            return exchange.conclude(outcome=not_refused(outcome=config) if repeat else config)
+            return exchange.conclude(outcome=refusal_as_unknown(outcome=config) if may_be_repeat else config)
         values = resolve(tree=config.tree, lane=lane, site=self.settings.site)
         if values is None:
-            gone = Outcome(kind=OutcomeKind.UNKNOWN_LANE, detail={"lane": lane})
-            known = any(lane in config.tree["lanes"] for config in self.follower.configs)
-            return exchange.conclude(outcome=not_refused(outcome=gone) if repeat and known else gone)
+            unknown_lane = Outcome(kind=OutcomeKind.UNKNOWN_LANE, detail={"lane": lane})
+            known = any(lane in config.tree["lanes"] for config in self.config_subscription.configs)
+            return exchange.conclude(
+                outcome=refusal_as_unknown(outcome=unknown_lane) if may_be_repeat and known else unknown_lane
+            )
         if int(first) and values["run"] != "resumable":
             why = "this lane's streams are not resumable: begin anew"
             return exchange.conclude(outcome=Outcome(kind=OutcomeKind.CHANGED, detail={"why": why}))
-        record = self._record(
-            lane=lane, identity=identity, repeat=repeat, body=body, config=config, values=values, first=int(first),
-            resumed=exchange.header(name="Dockmux-Resume-Of"),
+        record = self._find_or_create_record(
+            lane=lane, identity=identity, may_be_repeat=may_be_repeat, body=body, config=config, values=values,
+            first=int(first), resumed=exchange.header(name="Dockmux-Resume-Of"),
         )  # fmt: skip
         if isinstance(record, Outcome):
-            told = record if record.kind is OutcomeKind.BAD_IDENTITY or not repeat else not_refused(outcome=record)
-            return exchange.conclude(outcome=told)
+            outcome = (
+                record
+                if record.kind is OutcomeKind.BAD_IDENTITY or not may_be_repeat
+                else refusal_as_unknown(outcome=record)
+            )
+            return exchange.conclude(outcome=outcome)
         attached = bool(exchange.header(name="Dockmux-Attach"))
-        return self._stream(exchange=exchange, record=record, first=int(first), attached=attached)
+        return self._stream_answer(exchange=exchange, record=record, first=int(first), attached=attached)
 
-    def _body(self, *, exchange: HttpExchange) -> dict[str, Any] | Outcome:
+    def _parse_body(self, *, exchange: HttpExchange) -> dict[str, Any] | Outcome:
+        """The request's body, or the outcome for an invalid one."""
         if exchange.content_type != "application/json":
             allowed = {"found": exchange.content_type, "allowed": "application/json"}
             return Outcome(kind=OutcomeKind.BAD_TYPE, detail=allowed)
@@ -179,154 +193,166 @@
             body = json.loads(data)
         except ValueError as error:
             return Outcome(kind=OutcomeKind.BAD_JSON, detail={"why": str(error)})
-        wrong = schemas.errors(name="request", value=body)
-        return Outcome(kind=OutcomeKind.BAD_FIELD, detail={"errors": wrong}) if wrong else body
+        errors = schemas.errors(name="request", value=body)
+        return Outcome(kind=OutcomeKind.BAD_FIELD, detail={"errors": errors}) if errors else body
 
-    def _config(self) -> Config | Outcome:
-        """The configuration in use; waits out the short time between one and the next."""
-        limit = self.host.elapsed() + SWITCH_LIMIT
+    def _wait_for_config(self) -> Config | Outcome:
+        """The configuration in use; waits through the short switch from one to the next."""
+        limit = self.host.elapsed() + CONFIG_SWITCH_TIMEOUT
         while True:
-            config = self.follower.current()
+            config = self.config_subscription.current_config()
             if config is not None:
                 return config
             if not self.gossip.ready():
                 return Outcome(kind=OutcomeKind.NOT_READY, detail={"why": "the clock is not synchronized"})
-            if not self.follower.permitted():
-                return Outcome(kind=OutcomeKind.NOT_READY, detail={"why": "no fresh news from the control plane"})
-            if not self.follower.configs:
+            if not self.config_subscription.lease_valid():
+                return Outcome(kind=OutcomeKind.NOT_READY, detail={"why": "no recent contact with the control plane"})
+            if not self.config_subscription.configs:
                 return Outcome(kind=OutcomeKind.NOT_READY, detail={"why": "no configuration yet"})
             if self.host.elapsed() >= limit:
-                return Outcome(kind=OutcomeKind.NOT_READY, detail={"why": "a configuration is being taken up"})
+                return Outcome(kind=OutcomeKind.NOT_READY, detail={"why": "a new configuration is being activated"})
             self.host.sleep(wait=ms(10))
 
-    def _record(
+    def _find_or_create_record(
         self,
         *,
         lane: str,
         identity: str,
-        repeat: bool,
+        may_be_repeat: bool,
         body: dict[str, Any],
         config: Config,
         values: dict[str, Any],
         first: int,
         resumed: str,
     ) -> RequestRecord | Outcome:
-        """The request's record: the one that it has already, or a new one."""
-        leftMs = min(values["horizonMs"], body.get("horizonMs", values["horizonMs"]))
-        fresh = RequestRecord(
-            lane=lane, identity=identity, repeat=repeat, body=body, arrived=self.host.elapsed(),
-            horizon=self.gossip.clock.issue_time() + ms(leftMs), mark=config.mark, values=values, first_piece=first,
+        """The request's record, an existing or a new one; an outcome if it can't be admitted."""
+        remaining_ms = min(values["horizonMs"], body.get("horizonMs", values["horizonMs"]))
+        new = RequestRecord(
+            lane=lane, identity=identity, may_be_repeat=may_be_repeat, body=body, arrived_at=self.host.elapsed(),
+            deadline=self.gossip.clock.issue_time() + ms(remaining_ms), mark=config.mark, lane_settings=values,
+            first_piece=first,
         )  # fmt: skip
-        known = self.table.records.get(fresh.key)
-        if known is not None:
-            if known.body_digest != fresh.body_digest:
+        existing = self.table.records.get(new.key)
+        if existing is not None:
+            if existing.body_digest != new.body_digest:
                 return Outcome(kind=OutcomeKind.BAD_IDENTITY, detail={"why": "this identity came with another body"})
-            usable = known.outcome is None or known.outcome.kind is OutcomeKind.ANSWERED or (known.once and known.sent)
-            if usable and first >= known.first_piece and (not first or resumed == known.answer):
-                return known
-            if known.outcome is None:
+            reusable = (
+                existing.outcome is None
+                or existing.outcome.kind is OutcomeKind.ANSWERED
+                or (existing.runs_once and existing.sent)
+            )
+            if reusable and first >= existing.first_piece and (not first or resumed == existing.answer_id):
+                return existing
+            if existing.outcome is None:
                 return Outcome(
-                    kind=OutcomeKind.BUSY, detail={"why": "this identity is being answered from a later piece"}
+                    kind=OutcomeKind.BUSY, detail={"why": "a stream from a later piece is open for this identity"}
                 )
-            fresh.claimed = known.claimed
-            fresh.unsent_before = known.once and not known.sent
-            fresh.repeat = repeat or known.sent
-        if first and resumed != fresh.answer:
+            new.claimed = existing.claimed
+            new.known_unsent = existing.runs_once and not existing.sent
+            new.may_be_repeat = may_be_repeat or existing.sent
+        if first and resumed != new.answer_id:
             why = "Dockmux-Resume-Of does not name the answer that would be given now: begin anew"
             return Outcome(kind=OutcomeKind.CHANGED, detail={"why": why})
         if self.table.open >= self.settings.record_limit:
-            return Outcome(kind=OutcomeKind.BUSY, detail={"why": "too many requests are open here"})
+            return Outcome(kind=OutcomeKind.BUSY, detail={"why": "too many open requests"})
         if not any(
             engine["service"] == values["service"] and self.usage_gossip.table.recent(engine=engine["engine"])
-            for engine in self.follower.engines
+            for engine in self.config_subscription.engines
         ):
             return Outcome(kind=OutcomeKind.NO_ENGINE, detail={"service": values["service"]})
-        if fresh.once and not fresh.claimed:
-            fresh.step = Step.CLAIM
-        self.table.add(record=fresh)
-        return fresh
+        if new.runs_once and not new.claimed:
+            new.step = Step.CLAIM_QUEUED
+        self.table.add(record=new)
+        return new
 
-    # Streams to user agents.
+    # Streams to clients.
 
-    def _stream(self, *, exchange: HttpExchange, record: RequestRecord, first: int, attached: bool) -> Iterator[bytes]:
-        """Gives the pieces as they come, then the one line that says how it ended."""
-        begun = False
-        given = first
+    def _stream_answer(
+        self, *, exchange: HttpExchange, record: RequestRecord, first: int, attached: bool
+    ) -> Iterator[bytes]:
+        """Yields the pieces as they arrive, then one line with the outcome. Raises ClientDisconnected."""
+        answer_started = False
+        next_piece = first
         record.readers += 1
         try:
             while True:
-                while given - record.first_piece < len(record.pieces):
-                    text, stampUs = record.pieces[given - record.first_piece]
-                    if not begun:
-                        begun = True
-                        self._begin(exchange=exchange, record=record)
-                    told = {"request": record.identity, "n": given, "text": text, "stampUs": stampUs}
-                    yield json.dumps(told).encode() + b"\n"
-                    given += 1
+                while next_piece - record.first_piece < len(record.pieces):
+                    text, stamp_us = record.pieces[next_piece - record.first_piece]
+                    if not answer_started:
+                        answer_started = True
+                        self._begin_answer(exchange=exchange, record=record)
+                    reply = {"request": record.identity, "n": next_piece, "text": text, "stampUs": stamp_us}
+                    yield json.dumps(reply).encode() + b"\n"
+                    next_piece += 1
                 if record.outcome is not None:
                     break
-                record.news.wait(wait=LOOK_AT_CLIENT)
+                record.changed.wait(wait=CLIENT_CHECK_INTERVAL)
                 if self.host.closed(socks=[exchange.connection]):
-                    raise UserAgentLeft("its user agent has closed the connection")
+                    raise ClientDisconnected("the client has closed the connection")
             if record.outcome.kind is OutcomeKind.CLAIMED:
-                yield from self._attach(exchange=exchange, record=record, first=first, attached=attached)
-            elif not begun and record.outcome.kind is not OutcomeKind.ANSWERED:
+                yield from self._relay_from_holder(exchange=exchange, record=record, first=first, attached=attached)
+            elif not answer_started and record.outcome.kind is not OutcomeKind.ANSWERED:
                 yield from exchange.conclude(outcome=record.outcome)
             else:
-                if not begun:
-                    self._begin(exchange=exchange, record=record)
-                yield self._last_line(record=record, first=first, given=given)
+                if not answer_started:
+                    self._begin_answer(exchange=exchange, record=record)
+                yield self._last_line(record=record, first=first, next_piece=next_piece)
         finally:
             record.readers -= 1
 
-    def _begin(self, *, exchange: HttpExchange, record: RequestRecord) -> None:
+    def _begin_answer(self, *, exchange: HttpExchange, record: RequestRecord) -> None:
         headers = [("Content-Type", "application/x-ndjson"), ("Dockmux-Request", record.identity)]
-        headers.append(("Dockmux-Answer", record.answer))
+        headers.append(("Dockmux-Answer", record.answer_id))
         exchange.begin(status=200, headers=headers)
 
-    def _last_line(self, *, record: RequestRecord, first: int, given: int) -> bytes:
+    def _last_line(self, *, record: RequestRecord, first: int, next_piece: int) -> bytes:
         outcome = record.outcome
-        told: dict[str, Any] = {"request": record.identity, "outcome": outcome.kind.value, "count": given}
+        reply: dict[str, Any] = {"request": record.identity, "outcome": outcome.kind.value, "count": next_piece}
         if outcome.kind is OutcomeKind.ANSWERED:
-            told |= {"complete": True, "first": first, "digest": record.digest(first=first)}
+            reply |= {"complete": True, "first": first, "digest": record.text_digest(first=first)}
         else:
-            told |= {"complete": False, "retryMs": outcome.retryMs, **outcome.detail}
-        return json.dumps(told).encode() + b"\n"
+            reply |= {"complete": False, "retryMs": outcome.retryMs, **outcome.detail}
+        return json.dumps(reply).encode() + b"\n"
 
-    def _attach(self, *, exchange: HttpExchange, record: RequestRecord, first: int, attached: bool) -> Iterator[bytes]:
-        """The request was claimed before: its run, or its outcome, is with the daemon that holds the claim."""
+    def _relay_from_holder(
+        self, *, exchange: HttpExchange, record: RequestRecord, first: int, attached: bool
+    ) -> Iterator[bytes]:
+        """Relays the answer or the outcome from the daemon that holds the request's claim."""
         holder = record.outcome.detail["holder"]
         self.table.records.pop(record.key, None)
-        unknown = Outcome(kind=OutcomeKind.UNKNOWN, detail=TAKEN_BEFORE)
+        unknown = Outcome(kind=OutcomeKind.UNKNOWN, detail=ALREADY_CLAIMED)
         address = holder.partition(" ")[0]
         if attached or holder == self.holder or address == self.settings.http:
             yield from exchange.conclude(outcome=unknown)
             return
-        begun = False
+        answer_started = False
         try:
-            with HttpClientConnection(host=self.host, address=address, wait=ATTACH_LIMIT) as stream:
-                stream.connect()
-                stream.timeout = max((record.horizon - self.gossip.clock.issue_time()).total_seconds(), 0.1)
+            with HttpClientConnection(host=self.host, address=address, wait=ATTACH_TIMEOUT) as connection:
+                connection.connect()
+                connection.timeout = max((record.deadline - self.gossip.clock.issue_time()).total_seconds(), 0.1)
                 headers = {"Idempotency-Key": record.identity, "Dockmux-Attach": "1"}
-                response = stream.call(method="POST", path=f"/lanes/{record.lane}", fields=record.body, headers=headers)
+                response = connection.call(
+                    method="POST", path=f"/lanes/{record.lane}", fields=record.body, headers=headers
+                )
                 if response.status != 200:
-                    told = json.loads(response.read())
-                    kind = OutcomeKind(told.pop("outcome"))
-                    outcome = Outcome(kind=kind, detail=told) if kind in ATTACH_KINDS else unknown
+                    reply = json.loads(response.read())
+                    kind = OutcomeKind(reply.pop("outcome"))
+                    outcome = Outcome(kind=kind, detail=reply) if kind in ATTACH_KINDS else unknown
                     yield from exchange.conclude(outcome=outcome)
                     return
                 for line in response:
-                    if not begun:
-                        self._begin(exchange=exchange, record=record)
-                        begun = True
+                    if not answer_started:
+                        self._begin_answer(exchange=exchange, record=record)
+                        answer_started = True
                     yield line if line.endswith(b"\n") else line + b"\n"
         except (OSError, urllib3.exceptions.HTTPError, ValueError, KeyError):
-            if begun:
-                raise  # The stream breaks off without its last line.
+            if answer_started:
+                raise  # The stream ends without its last line.
             yield from exchange.conclude(outcome=unknown)
 
     def status(self) -> dict[str, Any]:
-        config = self.follower.current()
+        """Fields of the status page."""
+        config = self.config_subscription.current_config()
         open_by_step: dict[str, int] = {}
         for record in self.table.records.values():
             if record.outcome is None:
@@ -336,8 +362,8 @@
             "draining": self.draining,
             "ready": config is not None,
             "config": config.mark if config else None,
-            "newest": self.follower.configs[-1].mark if self.follower.configs else 0,
-            "permitted": self.follower.permitted(),
+            "newest": self.config_subscription.configs[-1].mark if self.config_subscription.configs else 0,
+            "permitted": self.config_subscription.lease_valid(),
             "clock_ready": self.gossip.ready(),
             "open": self.table.open,
             "steps": open_by_step,
@@ -353,6 +379,6 @@
         }  # fmt: skip
 
 
-TAKEN_BEFORE = {"why": "it was taken on before; what became of it is not known"}
-# What a holder may say of a claimed request that a repeat is given as its outcome; all else is not known.
+ALREADY_CLAIMED = {"why": "another attempt was admitted; its outcome is unknown"}
+# Outcomes of a claim's holder that are passed on to a repeated request; any other becomes `unknown`.
 ATTACH_KINDS = {OutcomeKind.FAILED, OutcomeKind.UNKNOWN, OutcomeKind.BAD_IDENTITY}
--- a/dockmux/native_proxy/tally.py
+++ b/dockmux/native_proxy/outcome_counts.py
@@ -1,4 +1,4 @@
-"""How many requests ended in which way, folded from the journal."""
+"""Number of ended requests by outcome, folded from the journal."""
 
 import dataclasses
 from collections import Counter
@@ -8,19 +8,19 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Concluded:
-    """A request has its outcome."""
+class RequestEnded:
+    """A request has ended with an outcome."""
 
     kind: OutcomeKind
 
 
-class Tally(Projection):
-    """Invariant: `counts` holds every conclusion folded so far."""
+class OutcomeCounts(Projection):
+    """Invariant: `counts` has the number of folded events by outcome value."""
 
     def __init__(self) -> None:
         super().__init__()
         self.counts: Counter[str] = Counter()
 
     def fold(self, *, event: object) -> None:
-        if isinstance(event, Concluded):
+        if isinstance(event, RequestEnded):
             self.counts[event.kind.value] += 1
--- a/dockmux/native_proxy/program.py
+++ b/dockmux/native_proxy/program.py
@@ -1,4 +1,4 @@
-"""The data daemon's program."""
+"""Command line program of the data daemon."""
 
 import argparse
 import sys
--- a/dockmux/platform_proxy/table.py
+++ b/dockmux/platform_proxy/table.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Iterator
 from datetime import timedelta
 
-from dockmux.native_proxy.tally import Concluded, Tally
+from dockmux.native_proxy.outcome_counts import OutcomeCounts, RequestEnded
 from dockmux.platform_proxy.budget import Budget
 from dockmux.platform_proxy.directory import Directory
 from dockmux.platform_proxy.dispatcher import RETRY, Dispatcher, Ending
@@ -45,8 +45,8 @@
         self.verdicts = verdicts
         self.budget = budget
         self.records: dict[int, RequestRecord] = {}
-        self.tally = Tally()
-        self.journal = EventJournal(projections=[self.tally])
+        self.outcome_counts = OutcomeCounts()
+        self.journal = EventJournal(projections=[self.outcome_counts])
         self.leaving: Leaving | None = None
         self.last_key = 0
 
@@ -55,8 +55,8 @@
         return len(self.records)
 
     def outcomes(self) -> dict[str, int]:
-        self.journal.fold(projection=self.tally)
-        return dict(self.tally.counts)
+        self.journal.fold(projection=self.outcome_counts)
+        return dict(self.outcome_counts.counts)
 
     def leave(self, *, leaving: Leaving) -> None:
         """From now on only what can be brought to its end is taken in, and what is open is answered in time."""
@@ -138,7 +138,7 @@
         return self._course(exchange=exchange, record=record)
 
     def _refuse(self, *, exchange: HttpExchange, kind: OutcomeKind, why: str) -> list[bytes]:
-        self.journal.append(event=Concluded(kind=kind))
+        self.journal.append(event=RequestEnded(kind=kind))
         outcome = Outcome(kind=kind, detail={"why": why}, retryMs=to_ms(RETRY))
         return exchange.conclude(outcome=outcome, fractions=True)
 
@@ -154,14 +154,14 @@
                     yield part
         except GeneratorExit:
             # The client was found to have left by writing to it.
-            self.journal.append(event=Concluded(kind=OutcomeKind.CLIENT_LEFT))
+            self.journal.append(event=RequestEnded(kind=OutcomeKind.CLIENT_LEFT))
             raise
         finally:
             del self.records[record.key]
 
     def _end(self, *, exchange: HttpExchange, ending: Ending) -> list[bytes]:
         """What is still to be told to the client; CutAnswer where that can only be seen from the connection's end."""
-        self.journal.append(event=Concluded(kind=ending.kind))
+        self.journal.append(event=RequestEnded(kind=ending.kind))
         if ending.kind is OutcomeKind.ANSWERED:
             return []
         if ending.cut:
--- a/dockmux/simulator/fleet.py
+++ b/dockmux/simulator/fleet.py
@@ -140,7 +140,7 @@
         """Whether every running edge would take work; asked of the daemons, for setting up only."""
         for edge in self.plan.edges:
             daemon = self.daemons.get(edge["name"])
-            if daemon is None or not hasattr(daemon, "table") or daemon.follower.current() is None:
+            if daemon is None or not hasattr(daemon, "table") or daemon.config_subscription.current_config() is None:
                 return False
             if len(daemon.usage_gossip.table.summary()) < len(self.plan.engines):
                 return False
--- a/dockmux/simulator/rules.py
+++ b/dockmux/simulator/rules.py
@@ -22,13 +22,13 @@
 from dockmux.load_generator.open_loop import OpenLoopLoad
 from dockmux.local_fleet.fleet_plan import FleetPlan, build
 from dockmux.native_proxy import edge as edge_module
-from dockmux.native_proxy import legs as legs_module
+from dockmux.native_proxy import engine_calls as engine_calls_module
 from dockmux.native_proxy import request_record as record_module
-from dockmux.native_proxy.budget import Budget
-from dockmux.native_proxy.follower import Follower
-from dockmux.native_proxy.legs import Broken, Legs
+from dockmux.native_proxy.budget import RetryBudget
+from dockmux.native_proxy.config_subscription import ConfigSubscription
+from dockmux.native_proxy.engine_calls import CallFailed, EngineCalls
 from dockmux.native_proxy.request_record import RequestRecord, Step
-from dockmux.native_proxy.table import Table
+from dockmux.native_proxy.request_table import RequestTable
 from dockmux.runtime.engine_connections import EngineConnectionPool
 from dockmux.runtime.http_transport import HttpClientConnection
 from dockmux.runtime.log_events import LogEvent
@@ -312,15 +312,15 @@
 def _stop_at_first_byte(scene: Scene) -> None:
     """Edge 0 stands still for four seconds just before a leg's first byte."""
     host = scene.made.hosts["edge-0"]
-    legs = scene.made.daemons["edge-0"].table.legs
-    ask = legs._ask
+    engine_calls = scene.made.daemons["edge-0"].table.engine_calls
+    ask = engine_calls._send_request
 
     def stopping(**words: Any) -> Any:
-        legs._ask = ask
+        engine_calls._send_request = ask
         host.stop(at=1, lasts=4 * SECOND)
         return ask(**words)
 
-    legs._ask = stopping
+    engine_calls._send_request = stopping
     scene.ask(lane="plain")
     scene.sleep(ms(20))
 
@@ -455,20 +455,20 @@
 # Defences, each taken away by replacing one thing.
 
 
-def _claims_itself(self: Table, *, record: RequestRecord) -> None:
-    record.claimed, record.step = True, Step.READ
-    self.stir.notify_all()
+def _claims_itself(self: RequestTable, *, record: RequestRecord) -> None:
+    record.claimed, record.step = True, Step.PREFILL_QUEUED
+    self.wakeup.notify_all()
 
 
 def _ends_as_told(self: RequestRecord, *, outcome: Outcome, at: timedelta) -> None:
     self.outcome, self.step, self.ended_at = outcome, Step.ENDED, at
-    self.news.notify_all()
+    self.changed.notify_all()
 
 
-_relay = Legs._relay
+_relay = EngineCalls._relay
 
 
-def _takes_a_cut_for_the_end(self: Legs, **words: Any) -> None:
+def _takes_a_cut_for_the_end(self: EngineCalls, **words: Any) -> None:
     try:
         _relay(self, **words)
     except Exception:
@@ -485,30 +485,30 @@
 
 
 def _goes_on_anyway(
-    self: Table, *, record: RequestRecord, engine: str, reading: bool, kind: OutcomeKind, why: str
+    self: RequestTable, *, record: RequestRecord, engine: str, prefill: bool, kind: OutcomeKind, why: str
 ) -> None:
-    record.tried.add(engine)
-    self._again(record=record, step=Step.WRITE if record.memory and not reading else Step.READ)
+    record.tried_engines.add(engine)
+    self._requeue(record=record, step=Step.DECODE_QUEUED if record.kv_handle and not prefill else Step.PREFILL_QUEUED)
 
 
-def _counts_no_pieces(self: Legs, *, record: RequestRecord, response: Any, start: int) -> None:
+def _counts_no_pieces(self: EngineCalls, *, record: RequestRecord, response: Any, start: int) -> None:
     for line in response:
         told = json.loads(line)
         if "end" in told:
             response.read()
             return
         if "text" in told:
-            record.add(text=told["text"], stampUs=0)
-    raise Broken("cut")
+            record.add_piece(text=told["text"], stamp_us=0)
+    raise CallFailed("cut")
 
 
-_learn = Follower._learn
+_apply_news = ConfigSubscription._apply_news
 
 
-def _ignores_the_list(self: Follower, *, news: dict[str, Any], heldMs: int) -> None:
+def _ignores_the_list(self: ConfigSubscription, *, news: dict[str, Any], held_ms: int) -> None:
     for engine in news.get("engines", []):
         engine.pop("leaving", None)
-    _learn(self, news=news, heldMs=heldMs)
+    _apply_news(self, news=news, held_ms=held_ms)
 
 
 _update_usage = UsageTable.update
@@ -577,9 +577,12 @@
     Rule(
         number=1, check="once_runs_once", act=once,
         defences={
-            "the claim": [(Table, "_claim", _claims_itself)],
+            "the claim": [(RequestTable, "_claim", _claims_itself)],
             "one send a leg": [
-                (RequestRecord, "once", property(lambda self: not self.claimed and self.values["run"] == "once"))
+                (
+                    RequestRecord, "runs_once",
+                    property(lambda self: not self.claimed and self.lane_settings["run"] == "once"),
+                )
             ],
         },
     ),
@@ -594,8 +597,8 @@
         number=2, check="refused_never_runs", act=refused,
         defences={
             "no refusal to what may have run": [
-                (record_module, "not_refused", lambda *, outcome: outcome),
-                (edge_module, "not_refused", lambda *, outcome: outcome),
+                (record_module, "refusal_as_unknown", lambda *, outcome: outcome),
+                (edge_module, "refusal_as_unknown", lambda *, outcome: outcome),
             ],
             "no refusal to what was sent": [(RequestRecord, "end", _ends_as_told)],
         },
@@ -603,19 +606,22 @@
     Rule(
         number=3, check="answers_are_own_and_whole", act=whole,
         defences={
-            "the answer's end": [(Legs, "_relay", _takes_a_cut_for_the_end)],
-            "no other run goes on": [(Table, "_recover", _goes_on_anyway)],
+            "the answer's end": [(EngineCalls, "_relay", _takes_a_cut_for_the_end)],
+            "no other run goes on": [(RequestTable, "_retry_or_fail", _goes_on_anyway)],
             "one body an identity": [(RequestRecord, "body_digest", "")],
         },
     ),
     Rule(
         number=4, check="pieces_in_order", act=in_order, stirs=[(Engine, "_write", _begins_anew)],
-        defences={"pieces are counted": [(Legs, "_relay", _counts_no_pieces)]},
+        defences={"pieces are counted": [(EngineCalls, "_relay", _counts_no_pieces)]},
     ),
     Rule(
         number=5, check="memory_is_own", act=memory,
         defences={
-            "the memory's tag": [(Legs, "_wanted", lambda self, **_: {}), (legs_module, "WANTED", ())],
+            "the memory's tag": [
+                (EngineCalls, "_expected_kv_handle", lambda self, **_: {}),
+                (engine_calls_module, "KV_HANDLE_FIELDS", ()),
+            ],
         },
     ),
     Rule(
@@ -626,21 +632,24 @@
         number=7, check="leaving_gets_nothing", act=leaving,
         defences={
             "the engine's own word": [(UsageTable, "update", _ignores_the_engine)],
-            "the list's word": [(Follower, "_learn", _ignores_the_list)],
+            "the list's word": [(ConfigSubscription, "_apply_news", _ignores_the_list)],
         },
     ),
     Rule(
         number=8, check="configurations_are_honoured", act=honoured,
         defences={
             "permission": [
-                (Follower, "permitted", lambda self: True),
-                (Follower, "until", property(lambda self: self.host.elapsed() + SECOND)),
+                (ConfigSubscription, "lease_valid", lambda self: True),
+                (ConfigSubscription, "lease_expires_at", property(lambda self: self.host.elapsed() + SECOND)),
             ],
             "the wait before use": [
-                (Follower, "current", lambda self: self.configs[-1] if self.configs and self.permitted() else None)
+                (
+                    ConfigSubscription, "current_config",
+                    lambda self: self.configs[-1] if self.configs and self.lease_valid() else None,
+                )
             ],
             "a late leg is handed back": [
-                (Follower, "valid_until", lambda self: self.host.elapsed() + timedelta(hours=1))
+                (ConfigSubscription, "call_valid_until", lambda self: self.host.elapsed() + timedelta(hours=1))
             ],
         },
     ),
@@ -660,7 +669,7 @@
     ),
     Rule(
         number=10, check="extra_sends_are_few", act=extra,
-        defences={"the budget": [(Budget, "allows", lambda self, **_: True)]},
+        defences={"the budget": [(RetryBudget, "allows", lambda self, **_: True)]},
     ),
     Rule(
         number=11, check="one_commands_at_a_time", act=commanded, settings={"permitMs": 300, "suspectMs": 300},
--- a/dockmux/simulator/strain.py
+++ b/dockmux/simulator/strain.py
@@ -47,7 +47,7 @@
         rows = [row for engine in made.engines for row in engine.history if row["what"] == "prefilled"]
         spans: dict[str, list[timedelta]] = {}
         for edge in plan.edges:
-            for stage, found in made.daemons[edge["name"]].table.stages().latest.items():
+            for stage, found in made.daemons[edge["name"]].table.stages().recent.items():
                 spans.setdefault(stage, []).extend(found)
         answered = sum(1 for seen in open_loop.seen if seen.kind == "answered")
         return Strain(
