--- a/dockmux/scale_model/fleet.py
+++ b/dockmux/scale_model/fleet.py
@@ -311,7 +311,7 @@
 
 @contextmanager
 def fleet(*, size: Size, seed: int, words: str) -> Iterator[GaugeFleet]:
-    with MeteredWorld(seed=seed, linkUs=1500).open() as world:
+    with MeteredWorld(seed=seed, link_us=1500).open() as world:
         yield GaugeFleet(world=world, size=size, protocol=load_protocol(path=words))
 
 
--- a/dockmux/scale_model/meter.py
+++ b/dockmux/scale_model/meter.py
@@ -17,7 +17,7 @@
 from dockmux.runtime.host import split_address
 from dockmux.simulator.stream import SimListener, SimStream
 from dockmux.simulator.virtual_hub import VirtualHub
-from dockmux.simulator.world import GRAVEYARD, SimDatagrams, SimHost, World
+from dockmux.simulator.world import RETAINED_OBJECTS, SimDatagrams, SimHost, World
 
 MESSAGE = re.compile(rb'\d+:\{"type":"(\w+)"')
 HTTP = "HTTP"
@@ -58,18 +58,18 @@
             if timer.called:
                 self.canceled -= 1
                 continue
-            place = timer.place
-            if place is None:
+            owner = timer.owner
+            if owner is None:
                 timer()
                 continue
-            if not place.alive:
+            if not owner.alive:
                 continue
-            if place.frozen:
-                place.parked.append(timer)
+            if owner.frozen:
+                owner.deferred_timers.append(timer)
                 continue
             began_s = clock()
             timer()
-            place.meter.busy_s += clock() - began_s
+            owner.meter.busy_s += clock() - began_s
 
 
 class MeteredStream(SimStream):
@@ -144,15 +144,15 @@
         finally:
             for host in self.hosts:
                 host.alive = False
-            GRAVEYARD.append(self)
+            RETAINED_OBJECTS.append(self)
             hubs.use_hub(None)
 
     def start(self, *, name: str, ip: str, site: str, run: Callable[[SimHost], None]) -> MeteredHost:
         host = MeteredHost(world=self, name=name, machine=self.machine(ip=ip, site=site))
         self.hosts.append(host)
         task = eventlet.spawn(self._run, host=host, run=run)
-        task.place = host
-        host.keep(task)
+        task.owner = host
+        host.track_task(task)
         return host
 
 
--- a/dockmux/simulator/exchanges.py
+++ b/dockmux/simulator/exchanges.py
@@ -166,7 +166,7 @@
         def ask(*, method: str, path: str, fields: Any = None, mark: str = "") -> None:
             headers = {"If-Match": mark} if mark else None
             address = made.plan.cores[1]["http"]
-            status, answer = made.ask(address=address, method=method, path=path, fields=fields, headers=headers)
+            status, answer = made.request(address=address, method=method, path=path, fields=fields, headers=headers)
             told.append([f"{method} {path} {mark}".strip(), status, answer])
 
         ask(method="PUT", path="/config", fields=tree)
--- a/dockmux/simulator/faults.py
+++ b/dockmux/simulator/faults.py
@@ -1,4 +1,6 @@
-"""The brief's failures, as events drawn from a seed and carried out on a simulated fleet."""
+"""Fault injection: draws a schedule of faults from a seed and applies them to a simulated fleet.
+
+Fault kinds are arguments of the console command `omen`; the kind `x` is implemented by `FaultInjector._x`."""
 
 import copy
 import dataclasses
@@ -17,20 +19,20 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Fault:
-    """One failure: what, to whom, from when, for how long. Invariant: `number` seeds its own choices, so that
-    leaving others out does not change it."""
+    """One fault of a schedule; `at` counts from the end of the warm-up. Invariant: `number` seeds the random choices of
+    this fault (its targets among them), so that leaving out other faults does not change it."""
 
     at: timedelta
-    lasts: timedelta
+    duration: timedelta
     kind: str
     number: int
 
     def __str__(self) -> str:
-        return f"{self.at.total_seconds():7.2f}s {self.kind} for {self.lasts.total_seconds():.2f}s (#{self.number})"
+        return f"{self.at.total_seconds():7.2f}s {self.kind} for {self.duration.total_seconds():.2f}s (#{self.number})"
 
 
-# Each kind and the longest it lasts, in seconds.
-KINDS = {
+# Fault kinds with the maximum duration of each, in seconds; a drawn duration is 0.3 s to this much plus 0.3 s.
+MAX_DURATION_S = {
     "crowd": 4,
     "swing_to_prompts": 5,
     "swing_to_answers": 5,
@@ -74,231 +76,238 @@
     "lane_moved": 4,
     "stopped_between": 4,
 }
-# What the brief calls a final fault: after it only what is kept is looked at.
-FINAL_KINDS = ("none", "all_killed", "disk_lost_and_all_killed")
+# Faults injected after the load has ended: after them only the stored state and repeats of `once` requests count.
+FINAL_FAULT_KINDS = ("none", "all_killed", "disk_lost_and_all_killed")
 
 
-# These wait for the cores to stand together again; the machines are back before that.
-CORE_KINDS = {
+# Faults of core machines: their run ends only once all cores are in the view again, while the repair time is taken
+# earlier, when the machines are back.
+CORE_FAULT_KINDS = {
     "core_frozen", "core_killed", "core_replaced", "disk_lost_after_ack", "disk_full", "disk_stalled", "core_split",
     "core_cut_one_way", "two_cores_killed", "cores_apart", "disks_all_full", "disks_all_stalled", "syncs_failed",
 }  # fmt: skip
 
 
-def draw(*, seed: int, lasts: timedelta, count: int, kinds: list[str] | None = None) -> list[Fault]:
-    """A schedule: faults spread over the time, some of them at once."""
-    chance = random.Random(f"faults-{seed}")
-    names = kinds or sorted(KINDS)
-    made = []
+def draw_schedule(*, seed: int, duration: timedelta, count: int, kinds: list[str] | None = None) -> list[Fault]:
+    """Draws `count` faults, which start at random times within `duration` and may overlap; ordered by start time."""
+    rng = random.Random(f"faults-{seed}")
+    names = kinds or sorted(MAX_DURATION_S)
+    schedule = []
     for number in range(count):
-        kind = chance.choice(names)
-        at = ms(chance.randrange(int(lasts / ms(1))))
-        longest = KINDS[kind]
-        made.append(Fault(at=at, lasts=ms(chance.randrange(300, longest * 1000 + 300)), kind=kind, number=number))
-    return sorted(made, key=lambda fault: fault.at)
+        kind = rng.choice(names)
+        at = ms(rng.randrange(int(duration / ms(1))))
+        max_s = MAX_DURATION_S[kind]
+        schedule.append(Fault(at=at, duration=ms(rng.randrange(300, max_s * 1000 + 300)), kind=kind, number=number))
+    return sorted(schedule, key=lambda fault: fault.at)
 
 
-def twins(*, tree: dict[str, Any]) -> list[dict[str, Any]]:
-    """The models and adapters that a drawn configuration may give a lane, as whole trees."""
-    made = []
+def model_variants(*, tree: dict[str, Any]) -> list[dict[str, Any]]:
+    """Returns configuration trees with each combination of model and adapter that `draw_tree` can give a lane, other
+    than the one in `tree`."""
+    variants = []
     for next_model, trial in ((False, True), (True, False), (True, True)):
-        twin = copy.deepcopy(tree)
-        for values in twin["lanes"].values():
+        variant = copy.deepcopy(tree)
+        for values in variant["lanes"].values():
             if next_model:
                 values["model"] = tree["defaults"]["model"] + "-next"
             if trial:
                 values["adapter"] = "trial"
-        made.append(twin)
-    return made
+        variants.append(variant)
+    return variants
+
 
+class FaultInjector:
+    """Applies faults to a fleet.
 
-class Doer:
-    """Carries faults out. Invariants: what one fault breaks it mends itself when its time is over; at most one
-    core machine is down, wiped or ailing at a time by faults of that sort, as the brief's users must survive."""
+    Invariants: each fault undoes its own effects when its duration is over; at most one fault of core machines is
+    active at a time (`core_fault_active`), because the fleet tolerates the loss of one core machine. `config_changes`
+    records each configuration sent and its outcome, `leave_notices` the time and incarnation of each engine told to
+    leave, `frozen_edges` the HTTP address and the period of each frozen edge, `repaired_at` the time of the latest
+    repair; `rate_factor` scales the arrival rate, and the load generator reads `swing`."""
 
     def __init__(self, *, fleet: SimFleet, seed: int) -> None:
         self.fleet = fleet
         self.world = fleet.world
         self.seed = seed
-        self.told: list[ConfigChange] = []
-        self.leaving: list[tuple[timedelta, str]] = []
-        self.rate = 1.0
+        self.config_changes: list[ConfigChange] = []
+        self.leave_notices: list[tuple[timedelta, str]] = []
+        self.rate_factor = 1.0
         self.swing = ""
-        self.core_down = False
-        self.replaced = 0
-        self.foreign: list[Any] = []
-        self.still: list[tuple[str, timedelta, timedelta]] = []
-        self.mended = timedelta()
+        self.core_fault_active = False
+        self.replacements = 0
+        self.foreign_engines: list[Any] = []
+        self.frozen_edges: list[tuple[str, timedelta, timedelta]] = []
+        self.repaired_at = timedelta()
 
     def run(self, *, fault: Fault) -> None:
-        chance = random.Random(f"{self.seed}-{fault.number}-{fault.kind}")
-        getattr(self, "_" + fault.kind)(chance=chance, lasts=fault.lasts)
-        if fault.kind not in CORE_KINDS:
-            self._mended()
+        rng = random.Random(f"{self.seed}-{fault.number}-{fault.kind}")
+        getattr(self, "_" + fault.kind)(rng=rng, duration=fault.duration)
+        if fault.kind not in CORE_FAULT_KINDS:
+            self._note_repair()
 
-    def wanted(self, _: timedelta) -> float:
-        """The rate of arrivals now."""
-        return self.fleet.plan.perSecond * self.rate
+    def arrival_rate(self, _: timedelta) -> float:
+        """Returns the current arrival rate in requests per second."""
+        return self.fleet.plan.perSecond * self.rate_factor
 
-    def _mended(self) -> None:
-        """The machines are back: from here on the time to recover counts."""
-        self.mended = self.world.now()
+    def _note_repair(self) -> None:
+        """Records that the machines are back; the recovery time counts from the last call."""
+        self.repaired_at = self.world.now()
 
     def _sleep(self, span: timedelta) -> None:
         eventlet.sleep(span.total_seconds())
 
     # Load.
 
-    def _crowd(self, *, chance: random.Random, lasts: timedelta) -> None:
-        self.rate = chance.uniform(2, 4)
-        self._sleep(lasts)
-        self.rate = 1.0
+    def _crowd(self, *, rng: random.Random, duration: timedelta) -> None:
+        self.rate_factor = rng.uniform(2, 4)
+        self._sleep(duration)
+        self.rate_factor = 1.0
 
-    def _swing_to_prompts(self, *, chance: random.Random, lasts: timedelta) -> None:
-        self._swing(to="prompts", lasts=lasts)
+    def _swing_to_prompts(self, *, rng: random.Random, duration: timedelta) -> None:
+        self._swing(to="prompts", duration=duration)
 
-    def _swing_to_answers(self, *, chance: random.Random, lasts: timedelta) -> None:
-        self._swing(to="answers", lasts=lasts)
+    def _swing_to_answers(self, *, rng: random.Random, duration: timedelta) -> None:
+        self._swing(to="answers", duration=duration)
 
-    def _swing(self, *, to: str, lasts: timedelta) -> None:
+    def _swing(self, *, to: str, duration: timedelta) -> None:
         self.swing = to
-        self._sleep(lasts)
+        self._sleep(duration)
         self.swing = ""
 
     # Engines.
 
-    def _engine(self, *, chance: random.Random) -> dict[str, Any]:
-        return chance.choice(self.fleet.plan.engines)
+    def _draw_engine(self, *, rng: random.Random) -> dict[str, Any]:
+        return rng.choice(self.fleet.plan.engines)
 
     def _restart_engine(self, *, engine: dict[str, Any]) -> None:
         ip, _, port = engine["address"].partition(":")
         if not self.fleet.hosts[engine["engine"]].alive and (ip, int(port)) not in self.world.listeners:
             self.fleet.start_engine(engine=engine)
 
-    def _engine_crash(self, *, chance: random.Random, lasts: timedelta) -> None:
-        engine = self._engine(chance=chance)
+    def _engine_crash(self, *, rng: random.Random, duration: timedelta) -> None:
+        engine = self._draw_engine(rng=rng)
         self.fleet.hosts[engine["engine"]].kill()
-        self._sleep(lasts)
+        self._sleep(duration)
         self._restart_engine(engine=engine)
 
-    def _engine_dark(self, *, chance: random.Random, lasts: timedelta) -> None:
-        self._isolate(host=self.fleet.hosts[self._engine(chance=chance)["engine"]], lasts=lasts)
+    def _engine_dark(self, *, rng: random.Random, duration: timedelta) -> None:
+        self._isolate(host=self.fleet.hosts[self._draw_engine(rng=rng)["engine"]], duration=duration)
 
-    def _engine_frozen(self, *, chance: random.Random, lasts: timedelta) -> None:
-        self._freeze(host=self.fleet.hosts[self._engine(chance=chance)["engine"]], lasts=lasts)
+    def _engine_frozen(self, *, rng: random.Random, duration: timedelta) -> None:
+        self._freeze(host=self.fleet.hosts[self._draw_engine(rng=rng)["engine"]], duration=duration)
 
     def _leave(self, *, engine: dict[str, Any]) -> None:
-        made = self.fleet.current_engines[engine["engine"]]
-        if made.host.alive:
-            made.leaving = True
-            made.note(what="leaving")
-            self.leaving.append((self.world.now(), made.incarnation))
-
-    def _engines_rolled(self, *, chance: random.Random, lasts: timedelta) -> None:
-        """Replaced one by one: told to leave, ended a while later, started anew."""
-        for engine in chance.sample(self.fleet.plan.engines, min(3, len(self.fleet.plan.engines))):
+        emulator = self.fleet.current_engines[engine["engine"]]
+        if emulator.host.alive:
+            emulator.leaving = True
+            emulator.note(what="leaving")
+            self.leave_notices.append((self.world.now(), emulator.incarnation))
+
+    def _engines_rolled(self, *, rng: random.Random, duration: timedelta) -> None:
+        """Replaces engines one by one: each is told to leave, killed a while later and started again."""
+        for engine in rng.sample(self.fleet.plan.engines, min(3, len(self.fleet.plan.engines))):
             self._leave(engine=engine)
-            self._sleep(lasts / 6)
+            self._sleep(duration / 6)
             self.fleet.hosts[engine["engine"]].kill()
-            self._sleep(lasts / 6)
+            self._sleep(duration / 6)
             self._restart_engine(engine=engine)
 
-    def _address_reused(self, *, chance: random.Random, lasts: timedelta) -> None:
-        """An engine ends without a word, and another service's takes its address before the list says so."""
-        engine = self._engine(chance=chance)
+    def _address_reused(self, *, rng: random.Random, duration: timedelta) -> None:
+        """Kills an engine; an engine of another service takes over its address before the engine list is updated."""
+        engine = self._draw_engine(rng=rng)
         if not self.fleet.hosts[engine["engine"]].alive:
             return
         self.fleet.hosts[engine["engine"]].kill()
-        other = {**engine, "engine": f"other-{len(self.foreign)}", "service": "other"}
+        other = {**engine, "engine": f"other-{len(self.foreign_engines)}", "service": "other"}
         self.fleet.start_engine(engine=other)
-        self.foreign.append(other)
-        self._sleep(lasts)
+        self.foreign_engines.append(other)
+        self._sleep(duration)
         self.fleet.hosts[other["engine"]].kill()
         self._sleep(ms(100))
         self._restart_engine(engine=engine)
 
-    def _links_slow(self, *, chance: random.Random, lasts: timedelta) -> None:
+    def _links_slow(self, *, rng: random.Random, duration: timedelta) -> None:
         ips = [engine["address"].partition(":")[0] for engine in self.fleet.plan.engines]
-        slow = {(a, b): ms(chance.randrange(50, 400)) for a in ips for b in ips if a != b}
-        self.world.slow.update(slow)
-        self._sleep(lasts)
-        for pair in slow:
-            self.world.slow.pop(pair, None)
+        delays = {(a, b): ms(rng.randrange(50, 400)) for a in ips for b in ips if a != b}
+        self.world.extra_latency.update(delays)
+        self._sleep(duration)
+        for pair in delays:
+            self.world.extra_latency.pop(pair, None)
 
-    def _memory_lapsed(self, *, chance: random.Random, lasts: timedelta) -> None:
+    def _memory_lapsed(self, *, rng: random.Random, duration: timedelta) -> None:
         for name in sorted(self.fleet.current_engines):
-            made = self.fleet.current_engines[name]
-            if made.host.alive:
-                made.lapse()
+            emulator = self.fleet.current_engines[name]
+            if emulator.host.alive:
+                emulator.lapse()
 
     # Processes and machines.
 
-    def _kill_for(self, *, names: list[str], lasts: timedelta) -> None:
+    def _restart(self, *, names: list[str], duration: timedelta) -> None:
         for name in names:
             self.fleet.hosts[name].kill()
-        self._sleep(lasts)
+        self._sleep(duration)
         for daemon in [*self.fleet.plan.cores, *self.fleet.plan.edges]:
             if daemon["name"] in names and not self.fleet.hosts[daemon["name"]].alive:
                 start = self.fleet.start_core if daemon in self.fleet.plan.cores else self.fleet.start_edge
                 start(daemon=daemon)
 
-    def _edges(self) -> list[str]:
+    def _edge_names(self) -> list[str]:
         return [edge["name"] for edge in self.fleet.plan.edges]
 
-    def _cores(self) -> list[str]:
+    def _core_names(self) -> list[str]:
         return [core["name"] for core in self.fleet.plan.cores]
 
-    def _edge_killed(self, *, chance: random.Random, lasts: timedelta) -> None:
-        self._kill_for(names=[chance.choice(self._edges())], lasts=lasts)
+    def _edge_killed(self, *, rng: random.Random, duration: timedelta) -> None:
+        self._restart(names=[rng.choice(self._edge_names())], duration=duration)
 
-    def _many_edges_killed(self, *, chance: random.Random, lasts: timedelta) -> None:
-        edges = self._edges()
-        self._kill_for(names=chance.sample(edges, len(edges) * 2 // 3), lasts=lasts)
+    def _many_edges_killed(self, *, rng: random.Random, duration: timedelta) -> None:
+        edges = self._edge_names()
+        self._restart(names=rng.sample(edges, len(edges) * 2 // 3), duration=duration)
 
-    def _all_killed(self, *, chance: random.Random, lasts: timedelta) -> None:
-        self._kill_for(names=[*self._cores(), *self._edges()], lasts=lasts)
+    def _all_killed(self, *, rng: random.Random, duration: timedelta) -> None:
+        self._restart(names=[*self._core_names(), *self._edge_names()], duration=duration)
 
-    def _freeze(self, *, host: Any, lasts: timedelta) -> None:
+    def _freeze(self, *, host: Any, duration: timedelta) -> None:
         if not host.frozen and host.alive:
-            self._note_still(host=host, lasts=lasts)
+            self._note_frozen_edge(host=host, duration=duration)
             host.freeze()
-            self._sleep(lasts)
+            self._sleep(duration)
             host.thaw()
 
-    def _note_still(self, *, host: Any, lasts: timedelta) -> None:
+    def _note_frozen_edge(self, *, host: Any, duration: timedelta) -> None:
         now = self.world.now()
         for edge in self.fleet.plan.edges:
             if edge["name"] == host.name:
-                self.still.append((edge["http"], now, now + lasts))
+                self.frozen_edges.append((edge["http"], now, now + duration))
 
-    def _edge_frozen(self, *, chance: random.Random, lasts: timedelta) -> None:
-        self._freeze(host=self.fleet.hosts[chance.choice(self._edges())], lasts=lasts)
+    def _edge_frozen(self, *, rng: random.Random, duration: timedelta) -> None:
+        self._freeze(host=self.fleet.hosts[rng.choice(self._edge_names())], duration=duration)
 
-    def _core_frozen(self, *, chance: random.Random, lasts: timedelta) -> None:
-        name = chance.choice(self._cores())
-        if self._take_core():
-            self._freeze(host=self.fleet.hosts[name], lasts=lasts)
-            self._give_core_back()
+    def _core_frozen(self, *, rng: random.Random, duration: timedelta) -> None:
+        name = rng.choice(self._core_names())
+        if self._begin_core_fault():
+            self._freeze(host=self.fleet.hosts[name], duration=duration)
+            self._end_core_fault()
 
-    def _take_core(self) -> bool:
-        if self.core_down:
+    def _begin_core_fault(self) -> bool:
+        if self.core_fault_active:
             return False
-        self.core_down = True
+        self.core_fault_active = True
         return True
 
-    def _give_core_back(self) -> None:
-        """Only once the core machines stand together again may the next of them fail."""
-        self._mended()
+    def _end_core_fault(self) -> None:
+        """Allows the next core fault once all cores are in the view again, or after 21 s."""
+        self._note_repair()
         self._sleep(SECOND)
         for _ in range(200):
-            if self._cores_whole():
+            if self._all_cores_in_view():
                 break
             self._sleep(ms(100))
-        self.core_down = False
+        self.core_fault_active = False
 
-    def _cores_whole(self) -> bool:
-        daemons = [self.fleet.daemons.get(name) for name in self._cores()]
-        if not all(self.fleet.hosts[name].alive for name in self._cores()):
+    def _all_cores_in_view(self) -> bool:
+        daemons = [self.fleet.daemons.get(name) for name in self._core_names()]
+        if not all(self.fleet.hosts[name].alive for name in self._core_names()):
             return False
         agreements = [getattr(daemon, "agreement", None) for daemon in daemons]
         disks = sorted(agreement.me for agreement in agreements if agreement is not None)
@@ -306,285 +315,291 @@
             agreement.view is not None and sorted(agreement.view.chain) == disks for agreement in agreements
         )
 
-    def _core_killed(self, *, chance: random.Random, lasts: timedelta) -> None:
-        name = chance.choice(self._cores())
-        if self._take_core():
-            self._kill_for(names=[name], lasts=lasts)
-            self._give_core_back()
+    def _core_killed(self, *, rng: random.Random, duration: timedelta) -> None:
+        name = rng.choice(self._core_names())
+        if self._begin_core_fault():
+            self._restart(names=[name], duration=duration)
+            self._end_core_fault()
 
-    def _core_replaced(self, *, chance: random.Random, lasts: timedelta) -> None:
-        """A core machine is gone for good; an empty one comes at a new address, under its name."""
-        place = chance.randrange(len(self.fleet.plan.cores))
-        if not self._take_core():
+    def _core_replaced(self, *, rng: random.Random, duration: timedelta) -> None:
+        """Removes a core machine for good; one with an empty disk replaces it under its name at a new address."""
+        index = rng.randrange(len(self.fleet.plan.cores))
+        if not self._begin_core_fault():
             return
-        core = self.fleet.plan.cores[place]
+        core = self.fleet.plan.cores[index]
         self.fleet.hosts[core["name"]].kill()
-        self._sleep(lasts)
-        self.replaced += 1
-        ip = core["address"].partition(":")[0].rsplit(".", 1)[0] + f".{200 + self.replaced}"
+        self._sleep(duration)
+        self.replacements += 1
+        ip = core["address"].partition(":")[0].rsplit(".", 1)[0] + f".{200 + self.replacements}"
         moved = {**core, "address": f"{ip}:7100", "http": f"{ip}:7200"}
-        self.fleet.plan.cores[place] = moved
+        self.fleet.plan.cores[index] = moved
         self.fleet.start_core(daemon=moved)
-        self._give_core_back()
+        self._end_core_fault()
 
-    def _disk_lost_after_ack(self, *, chance: random.Random, lasts: timedelta) -> None:
-        """A change is acknowledged, and at once a core machine loses its disk."""
-        name = chance.choice(self._cores())
-        if not self._take_core():
+    def _disk_lost_after_ack(self, *, rng: random.Random, duration: timedelta) -> None:
+        """Sends a configuration change; right after its outcome a core machine loses its disk."""
+        name = rng.choice(self._core_names())
+        if not self._begin_core_fault():
             return
-        self._put(chance=chance)
+        self._put(rng=rng)
         self.fleet.hosts[name].kill()
         self.fleet.hosts[name].machine.disk.files.clear()
-        self._kill_for(names=[name], lasts=lasts)
-        self._give_core_back()
+        self._restart(names=[name], duration=duration)
+        self._end_core_fault()
 
-    def _seeds_swapped(self, *, chance: random.Random, lasts: timedelta) -> None:
-        """The seed addresses point to other daemons from now on; those that start later read them."""
-        others = chance.sample(self.fleet.plan.edges, min(3, len(self.fleet.plan.edges)))
+    def _seeds_swapped(self, *, rng: random.Random, duration: timedelta) -> None:
+        """Replaces the seed addresses by those of other daemons, for daemons that start from now on."""
+        others = rng.sample(self.fleet.plan.edges, min(3, len(self.fleet.plan.edges)))
         self.fleet.seeds = [edge["address"] for edge in others]
-        self._kill_for(names=[chance.choice(self._edges())], lasts=lasts)
+        self._restart(names=[rng.choice(self._edge_names())], duration=duration)
 
     # Disks.
 
-    def _disk_slow(self, *, chance: random.Random, lasts: timedelta) -> None:
-        disk = self.fleet.hosts[chance.choice(self._cores())].machine.disk
-        before, disk.delay = disk.delay, ms(chance.randrange(100, 800))
-        self._sleep(lasts)
+    def _disk_slow(self, *, rng: random.Random, duration: timedelta) -> None:
+        disk = self.fleet.hosts[rng.choice(self._core_names())].machine.disk
+        before, disk.delay = disk.delay, ms(rng.randrange(100, 800))
+        self._sleep(duration)
         disk.delay = ms(2) if before > ms(50) else before
 
-    def _disk_full(self, *, chance: random.Random, lasts: timedelta) -> None:
-        name = chance.choice(self._cores())
-        if not self._take_core():
+    def _disk_full(self, *, rng: random.Random, duration: timedelta) -> None:
+        name = rng.choice(self._core_names())
+        if not self._begin_core_fault():
             return
         disk = self.fleet.hosts[name].machine.disk
-        disk.limitBytes = sum(len(kept) for kept in disk.files.values()) + chance.randrange(300)
-        self._sleep(lasts)
-        disk.limitBytes = 1 << 40
-        self._give_core_back()
-
-    def _disk_stalled(self, *, chance: random.Random, lasts: timedelta) -> None:
-        name = chance.choice(self._cores())
-        if not self._take_core():
+        disk.limit_bytes = sum(len(content) for content in disk.files.values()) + rng.randrange(300)
+        self._sleep(duration)
+        disk.limit_bytes = 1 << 40
+        self._end_core_fault()
+
+    def _disk_stalled(self, *, rng: random.Random, duration: timedelta) -> None:
+        name = rng.choice(self._core_names())
+        if not self._begin_core_fault():
             return
         disk = self.fleet.hosts[name].machine.disk
         disk.stalled = True
-        self._sleep(lasts)
+        self._sleep(duration)
         disk.stalled = False
-        self._give_core_back()
-
-    def _disks(self) -> list[Any]:
-        return [self.fleet.hosts[name].machine.disk for name in self._cores()]
-
-    def _disks_all_full(self, *, chance: random.Random, lasts: timedelta) -> None:
-        if self._take_core():
-            for disk in self._disks():
-                disk.limitBytes = sum(len(kept) for kept in disk.files.values()) + chance.randrange(300)
-            self._sleep(lasts)
-            for disk in self._disks():
-                disk.limitBytes = 1 << 40
-            self._give_core_back()
-
-    def _disks_all_stalled(self, *, chance: random.Random, lasts: timedelta) -> None:
-        if self._take_core():
-            for disk in self._disks():
+        self._end_core_fault()
+
+    def _core_disks(self) -> list[Any]:
+        return [self.fleet.hosts[name].machine.disk for name in self._core_names()]
+
+    def _disks_all_full(self, *, rng: random.Random, duration: timedelta) -> None:
+        if self._begin_core_fault():
+            for disk in self._core_disks():
+                disk.limit_bytes = sum(len(content) for content in disk.files.values()) + rng.randrange(300)
+            self._sleep(duration)
+            for disk in self._core_disks():
+                disk.limit_bytes = 1 << 40
+            self._end_core_fault()
+
+    def _disks_all_stalled(self, *, rng: random.Random, duration: timedelta) -> None:
+        if self._begin_core_fault():
+            for disk in self._core_disks():
                 disk.stalled = True
-            self._sleep(lasts)
-            for disk in self._disks():
+            self._sleep(duration)
+            for disk in self._core_disks():
                 disk.stalled = False
-            self._give_core_back()
+            self._end_core_fault()
 
-    def _syncs_failed(self, *, chance: random.Random, lasts: timedelta) -> None:
-        """A core's disk takes what is written and fails to sync it; at the end that core is killed and starts anew."""
-        name = chance.choice(self._cores())
-        if not self._take_core():
+    def _syncs_failed(self, *, rng: random.Random, duration: timedelta) -> None:
+        """Lets fsync fail on a core's disk, although data may have been written; at the end the core is restarted."""
+        name = rng.choice(self._core_names())
+        if not self._begin_core_fault():
             return
         disk = self.fleet.hosts[name].machine.disk
         disk.syncs_fail = True
         for _ in range(3):
-            self._put(chance=chance)
-            self._sleep(lasts / 3)
+            self._put(rng=rng)
+            self._sleep(duration / 3)
         self.fleet.hosts[name].kill()
         disk.syncs_fail = False
-        self._kill_for(names=[name], lasts=lasts / 4)
-        self._give_core_back()
+        self._restart(names=[name], duration=duration / 4)
+        self._end_core_fault()
 
     # Clocks and network.
 
-    def _all_restarted_after_jump(self, *, chance: random.Random, lasts: timedelta) -> None:
-        """The wall clocks of the core machines go days wrong, and everything is restarted."""
-        for name in self._cores():
-            self.fleet.hosts[name].machine.wall_offset += timedelta(days=chance.choice((-3, 2, 4)))
-        self._all_killed(chance=chance, lasts=lasts)
+    def _all_restarted_after_jump(self, *, rng: random.Random, duration: timedelta) -> None:
+        """Shifts the wall clocks of the core machines by days and restarts all daemons."""
+        for name in self._core_names():
+            self.fleet.hosts[name].machine.wall_offset += timedelta(days=rng.choice((-3, 2, 4)))
+        self._all_killed(rng=rng, duration=duration)
 
-    def _packets_doubled(self, *, chance: random.Random, lasts: timedelta) -> None:
-        self.world.doubledPercent, self.world.jitter = chance.uniform(10, 60), ms(chance.randrange(10, 300))
-        self._sleep(lasts)
-        self.world.doubledPercent, self.world.jitter = 0.0, timedelta()
+    def _packets_doubled(self, *, rng: random.Random, duration: timedelta) -> None:
+        self.world.duplicate_percent, self.world.jitter = rng.uniform(10, 60), ms(rng.randrange(10, 300))
+        self._sleep(duration)
+        self.world.duplicate_percent, self.world.jitter = 0.0, timedelta()
 
-    def _delays_one_way(self, *, chance: random.Random, lasts: timedelta) -> None:
-        """Between daemons, one way is slower than the other: what the clock cannot see."""
+    def _delays_one_way(self, *, rng: random.Random, duration: timedelta) -> None:
+        """Makes the latency between daemons asymmetric, which clock synchronization cannot detect."""
         ips = self._ips(daemons=[*self.fleet.plan.cores, *self.fleet.plan.edges])
-        slow = {(a, b): ms(chance.randrange(20, 150)) for a in ips for b in ips if a < b}
-        self.world.slow.update(slow)
-        self._sleep(lasts)
-        for pair in slow:
-            self.world.slow.pop(pair, None)
+        delays = {(a, b): ms(rng.randrange(20, 150)) for a in ips for b in ips if a < b}
+        self.world.extra_latency.update(delays)
+        self._sleep(duration)
+        for pair in delays:
+            self.world.extra_latency.pop(pair, None)
 
-    def _daemon_cut_one_way(self, *, chance: random.Random, lasts: timedelta) -> None:
+    def _daemon_cut_one_way(self, *, rng: random.Random, duration: timedelta) -> None:
         ips = self._ips(daemons=[*self.fleet.plan.cores, *self.fleet.plan.edges])
-        edge = chance.choice(self._ips(daemons=self.fleet.plan.edges))
-        away = chance.random() < 0.5
-        self._cut(pairs={(edge, ip) if away else (ip, edge) for ip in ips if ip != edge}, lasts=lasts)
+        edge = rng.choice(self._ips(daemons=self.fleet.plan.edges))
+        outgoing = rng.random() < 0.5
+        self._cut(pairs={(edge, ip) if outgoing else (ip, edge) for ip in ips if ip != edge}, duration=duration)
 
-    def _cores_apart(self, *, chance: random.Random, lasts: timedelta) -> None:
+    def _cores_apart(self, *, rng: random.Random, duration: timedelta) -> None:
         ips = self._ips(daemons=self.fleet.plan.cores)
-        if self._take_core():
-            self._cut(pairs={(a, b) for a in ips for b in ips if a != b}, lasts=lasts)
-            self._give_core_back()
-
-    def _two_cores_killed(self, *, chance: random.Random, lasts: timedelta) -> None:
-        if self._take_core():
-            self._kill_for(names=chance.sample(self._cores(), 2), lasts=lasts)
-            self._give_core_back()
-
-    def _crowd_and_lapse(self, *, chance: random.Random, lasts: timedelta) -> None:
-        self.rate = chance.uniform(2, 3)
-        self._sleep(lasts / 2)
-        self._memory_lapsed(chance=chance, lasts=lasts)
-        self._sleep(lasts / 2)
-        self.rate = 1.0
-
-    def _stopped_between(self, *, chance: random.Random, lasts: timedelta) -> None:
-        """A daemon's machine stands still at one of its next reads of the time or sends, wherever that is."""
-        names = self._edges()
-        host = self.fleet.hosts[chance.choice(names)]
-        host.stop(at=chance.randrange(1, 400), lasts=lasts)
-        self._note_still(host=host, lasts=lasts + SECOND)
-        self._sleep(lasts + SECOND)
-
-    def final(self, *, kind: str, chance: random.Random) -> None:
-        """The fault that ends a day."""
+        if self._begin_core_fault():
+            self._cut(pairs={(a, b) for a in ips for b in ips if a != b}, duration=duration)
+            self._end_core_fault()
+
+    def _two_cores_killed(self, *, rng: random.Random, duration: timedelta) -> None:
+        if self._begin_core_fault():
+            self._restart(names=rng.sample(self._core_names(), 2), duration=duration)
+            self._end_core_fault()
+
+    def _crowd_and_lapse(self, *, rng: random.Random, duration: timedelta) -> None:
+        self.rate_factor = rng.uniform(2, 3)
+        self._sleep(duration / 2)
+        self._memory_lapsed(rng=rng, duration=duration)
+        self._sleep(duration / 2)
+        self.rate_factor = 1.0
+
+    def _stopped_between(self, *, rng: random.Random, duration: timedelta) -> None:
+        """Freezes an edge at one of its next 400 clock readings and sends, so that a pause can fall between any two."""
+        names = self._edge_names()
+        host = self.fleet.hosts[rng.choice(names)]
+        host.schedule_pause(steps=rng.randrange(1, 400), duration=duration)
+        self._note_frozen_edge(host=host, duration=duration + SECOND)
+        self._sleep(duration + SECOND)
+
+    def run_final(self, *, kind: str, rng: random.Random) -> None:
+        """Injects a fault of FINAL_FAULT_KINDS at the end of a run."""
         if kind == "none":
             return
         if kind == "disk_lost_and_all_killed":
-            name = chance.choice(self._cores())
+            name = rng.choice(self._core_names())
             self.fleet.hosts[name].kill()
             self.fleet.hosts[name].machine.disk.files.clear()
-        self._all_killed(chance=chance, lasts=SECOND)
+        self._all_killed(rng=rng, duration=SECOND)
 
-    def _wall_jumped(self, *, chance: random.Random, lasts: timedelta) -> None:
-        name = chance.choice([*self._cores(), *self._edges()])
-        self.fleet.hosts[name].machine.wall_offset += SECOND * chance.choice((-1, 1)) * chance.uniform(1, 7200)
+    def _wall_jumped(self, *, rng: random.Random, duration: timedelta) -> None:
+        name = rng.choice([*self._core_names(), *self._edge_names()])
+        self.fleet.hosts[name].machine.wall_offset += SECOND * rng.choice((-1, 1)) * rng.uniform(1, 7200)
 
     def _ips(self, *, daemons: list[dict[str, Any]]) -> list[str]:
         return [daemon["address"].partition(":")[0] for daemon in daemons]
 
-    def _cut(self, *, pairs: set[tuple[str, str]], lasts: timedelta) -> None:
-        fresh = pairs - self.world.cuts
-        self.world.cuts |= fresh
-        self._sleep(lasts)
-        self.world.cuts -= fresh
+    def _cut(self, *, pairs: set[tuple[str, str]], duration: timedelta) -> None:
+        added = pairs - self.world.cuts
+        self.world.cuts |= added
+        self._sleep(duration)
+        self.world.cuts -= added
 
-    def _core_split(self, *, chance: random.Random, lasts: timedelta) -> None:
+    def _core_split(self, *, rng: random.Random, duration: timedelta) -> None:
         ips = self._ips(daemons=self.fleet.plan.cores)
-        one = chance.choice(ips)
-        if self._take_core():
-            pairs = {(a, b) for a in ips for b in ips if a != b and one in (a, b)}
-            self._cut(pairs=pairs, lasts=lasts)
-            self._give_core_back()
+        isolated = rng.choice(ips)
+        if self._begin_core_fault():
+            pairs = {(a, b) for a in ips for b in ips if a != b and isolated in (a, b)}
+            self._cut(pairs=pairs, duration=duration)
+            self._end_core_fault()
 
-    def _core_cut_one_way(self, *, chance: random.Random, lasts: timedelta) -> None:
+    def _core_cut_one_way(self, *, rng: random.Random, duration: timedelta) -> None:
         ips = self._ips(daemons=self.fleet.plan.cores)
-        one = chance.choice(ips)
-        if self._take_core():
-            self._cut(pairs={(one, other) for other in ips if other != one}, lasts=lasts)
-            self._give_core_back()
+        isolated = rng.choice(ips)
+        if self._begin_core_fault():
+            self._cut(pairs={(isolated, other) for other in ips if other != isolated}, duration=duration)
+            self._end_core_fault()
 
-    def _cores_cut_off(self, *, chance: random.Random, lasts: timedelta) -> None:
+    def _cores_cut_off(self, *, rng: random.Random, duration: timedelta) -> None:
         cores = self._ips(daemons=self.fleet.plan.cores)
         edges = self._ips(daemons=self.fleet.plan.edges)
-        self._cut(pairs={(a, b) for a in cores for b in edges} | {(b, a) for a in cores for b in edges}, lasts=lasts)
+        self._cut(
+            pairs={(a, b) for a in cores for b in edges} | {(b, a) for a in cores for b in edges}, duration=duration
+        )
 
-    def _isolate(self, *, host: Any, lasts: timedelta) -> None:
+    def _isolate(self, *, host: Any, duration: timedelta) -> None:
         host.machine.isolated = True
-        self._sleep(lasts)
+        self._sleep(duration)
         host.machine.isolated = False
 
-    def _machine_isolated(self, *, chance: random.Random, lasts: timedelta) -> None:
-        self._isolate(host=self.fleet.hosts[chance.choice(self._edges())], lasts=lasts)
+    def _machine_isolated(self, *, rng: random.Random, duration: timedelta) -> None:
+        self._isolate(host=self.fleet.hosts[rng.choice(self._edge_names())], duration=duration)
 
-    def _packets_lost(self, *, chance: random.Random, lasts: timedelta) -> None:
-        self.world.lossPercent = chance.uniform(5, 40)
-        self._sleep(lasts)
-        self.world.lossPercent = 0.0
+    def _packets_lost(self, *, rng: random.Random, duration: timedelta) -> None:
+        self.world.loss_percent = rng.uniform(5, 40)
+        self._sleep(duration)
+        self.world.loss_percent = 0.0
 
-    # Operators.
+    # Operators and configuration.
 
-    def change(self, *, chance: random.Random) -> dict[str, Any]:
-        """A tree like the plan's, different in any of its values, and always in one, so that it can be told apart."""
+    def draw_tree(self, *, rng: random.Random) -> dict[str, Any]:
+        """Returns a variant of the plan's tree; the horizon always differs, to tell configurations apart."""
         tree = copy.deepcopy(self.fleet.plan.tree)
-        tree["defaults"]["horizonMs"] += chance.randrange(1, 900)
-        lane = tree["lanes"][chance.choice(sorted(tree["lanes"]))]
-        service = tree["services"][chance.choice(sorted(tree["services"]))]
-        match chance.choice(("horizon", "model", "adapter", "urgency", "extra", "run", "added")):
+        tree["defaults"]["horizonMs"] += rng.randrange(1, 900)
+        lane = tree["lanes"][rng.choice(sorted(tree["lanes"]))]
+        service = tree["services"][rng.choice(sorted(tree["services"]))]
+        match rng.choice(("horizon", "model", "adapter", "urgency", "extra", "run", "added")):
             case "model":
                 lane["model"] = tree["defaults"]["model"] + "-next"
             case "adapter":
                 lane["adapter"] = "trial"
             case "urgency":
-                lane["urgency"] = chance.randrange(10)
+                lane["urgency"] = rng.randrange(10)
             case "extra":
-                service["extraPercent"] = chance.choice((5, 20))
+                service["extraPercent"] = rng.choice((5, 20))
             case "run" if lane.get("run") != "once":
-                lane["run"] = chance.choice(("once", "repeatable", "resumable"))
+                lane["run"] = rng.choice(("once", "repeatable", "resumable"))
             case "added":
                 tree["lanes"]["added"] = {"service": sorted(tree["services"])[0], "urgency": 9}
         return tree
 
-    def _put(self, *, chance: random.Random, tree: dict[str, Any] | None = None, mark: int | None = None) -> int:
-        tree = tree or self.change(chance=chance)
-        core = chance.choice(self.fleet.plan.cores)["http"]
+    def _put(self, *, rng: random.Random, tree: dict[str, Any] | None = None, mark: int | None = None) -> int:
+        """Sends a configuration based on `mark`, by default a drawn one based on the current one, to a random core;
+        records it in `config_changes` and returns the HTTP status."""
+        tree = tree or self.draw_tree(rng=rng)
+        core = rng.choice(self.fleet.plan.cores)["http"]
         if mark is None:
-            status, told = self.fleet.ask(address=core, method="GET", path="/config")
+            status, body = self.fleet.request(address=core, method="GET", path="/config")
             if status != 200:
                 return status
-            mark = told["mark"]
+            mark = body["mark"]
         sent = self.world.now()
         headers = {"If-Match": f'"{mark}"'}
-        status, told = self.fleet.ask(address=core, method="PUT", path="/config", fields=tree, headers=headers)
-        taken = told.get("mark", 0) if status == 200 else 0
-        self.told.append(ConfigChange(sent=sent, ended=self.world.now(), tree=tree, status=status, mark=taken))
+        status, body = self.fleet.request(address=core, method="PUT", path="/config", fields=tree, headers=headers)
+        mark_taken = body.get("mark", 0) if status == 200 else 0
+        self.config_changes.append(
+            ConfigChange(sent=sent, ended=self.world.now(), tree=tree, status=status, mark=mark_taken)
+        )
         return status
 
-    def _operators_race(self, *, chance: random.Random, lasts: timedelta) -> None:
-        """Two send at once from the same mark; one of them sends a wrong tree besides."""
-        status, told = self.fleet.ask_any(method="GET", path="/config")
+    def _operators_race(self, *, rng: random.Random, duration: timedelta) -> None:
+        """Sends two changes based on the same mark at once, and an invalid tree as well."""
+        status, body = self.fleet.request_any_core(method="GET", path="/config")
         if status != 200:
             return
-        first = eventlet.spawn(self._put, chance=chance, mark=told["mark"])
-        second = eventlet.spawn(self._put, chance=chance, mark=told["mark"])
-        wrong = {**self.change(chance=chance), "lanes": {"subjects": {"service": "nowhere"}}}
-        self._put(chance=chance, tree=wrong, mark=told["mark"])
+        first = eventlet.spawn(self._put, rng=rng, mark=body["mark"])
+        second = eventlet.spawn(self._put, rng=rng, mark=body["mark"])
+        invalid = {**self.draw_tree(rng=rng), "lanes": {"subjects": {"service": "nowhere"}}}
+        self._put(rng=rng, tree=invalid, mark=body["mark"])
         first.wait()
         second.wait()
 
-    def _lane_moved(self, *, chance: random.Random, lasts: timedelta) -> None:
-        """A lane goes to another service, or away, and comes back."""
-        tree = self.change(chance=chance)
-        lane = chance.choice(sorted(self.fleet.plan.tree["lanes"]))
-        if chance.random() < 0.5:
+    def _lane_moved(self, *, rng: random.Random, duration: timedelta) -> None:
+        """Moves a lane to another service or deletes it, and restores it later."""
+        tree = self.draw_tree(rng=rng)
+        lane = rng.choice(sorted(self.fleet.plan.tree["lanes"]))
+        if rng.random() < 0.5:
             tree["services"]["spare"] = {}
             tree["lanes"][lane] = {**tree["lanes"][lane], "service": "spare"}
         else:
             del tree["lanes"][lane]
-        self._put(chance=chance, tree=tree)
-        self._sleep(lasts)
+        self._put(rng=rng, tree=tree)
+        self._sleep(duration)
         for _ in range(50):
-            if self._put(chance=chance) == 200:
+            if self._put(rng=rng) == 200:
                 return
             self._sleep(ms(200))
 
-    def _configurations_burst(self, *, chance: random.Random, lasts: timedelta) -> None:
+    def _configurations_burst(self, *, rng: random.Random, duration: timedelta) -> None:
         for _ in range(6):
-            self._put(chance=chance)
-            self._sleep(lasts / 6)
+            self._put(rng=rng)
+            self._sleep(duration / 6)
--- a/dockmux/simulator/rules.py
+++ b/dockmux/simulator/rules.py
@@ -36,7 +36,7 @@
 from dockmux.runtime.record_log import RecordLog, Unsure, parse
 from dockmux.runtime.time_units import EPOCH, instant_us, ms
 from dockmux.simulator import checks
-from dockmux.simulator.faults import Doer
+from dockmux.simulator.faults import FaultInjector
 from dockmux.simulator.fleet import SimFleet, fleet
 from dockmux.simulator.ground_truth import ConfigChange, GroundTruth, rows_of
 
@@ -72,11 +72,13 @@
 
     def __init__(self, *, made: SimFleet) -> None:
         self.made = made
-        self.doer = Doer(fleet=made, seed=1)
+        self.doer = FaultInjector(fleet=made, seed=1)
         self.open_loop = OpenLoopLoad(host=made.outside, plan=made.plan, seed=1)
-        status, told = made.ask_any(method="GET", path="/config")
+        status, told = made.request_any_core(method="GET", path="/config")
         now = made.world.now()
-        self.doer.told.append(ConfigChange(sent=now, ended=now, tree=told["tree"], status=status, mark=told["mark"]))
+        self.doer.config_changes.append(
+            ConfigChange(sent=now, ended=now, tree=told["tree"], status=status, mark=told["mark"])
+        )
         self.healed = now
         self.perSecond = 0.0
 
@@ -120,7 +122,7 @@
         """Changes a default; gives the status."""
         tree = self.made.plan.tree
         tree = {**tree, "defaults": {**tree["defaults"], **defaults}}
-        return self.doer._put(chance=random.Random(1), tree=tree)
+        return self.doer._put(rng=random.Random(1), tree=tree)
 
     def head(self) -> str:
         return next(
@@ -146,15 +148,18 @@
     def truth(self) -> GroundTruth:
         kept = None
         for _ in range(40):
-            status, told = self.made.ask_any(method="GET", path="/history")
+            status, told = self.made.request_any_core(method="GET", path="/history")
             if status == 200:
-                rows = [self.made.ask_any(method="GET", path=f"/config/{row['mark']}")[1] for row in told["configs"]]
+                rows = [
+                    self.made.request_any_core(method="GET", path=f"/config/{row['mark']}")[1]
+                    for row in told["configs"]
+                ]
                 kept = [{"mark": row["mark"], "tree": row["tree"]} for row in rows]
                 break
             self.sleep(SECOND / 2)
         return GroundTruth(
-            seen=self.open_loop.seen, rows=rows_of(engines=self.made.engines), told=self.doer.told,
-            leaving=self.doer.leaving, sites={edge["name"]: edge["site"] for edge in self.made.plan.edges},
+            seen=self.open_loop.seen, rows=rows_of(engines=self.made.engines), told=self.doer.config_changes,
+            leaving=self.doer.leave_notices, sites={edge["name"]: edge["site"] for edge in self.made.plan.edges},
             perSecond=self.perSecond, healed=self.healed, lasted=self.made.world.now(), kept=kept,
         )  # fmt: skip
 
@@ -187,7 +192,7 @@
     task.wait()
     for core in scene.made.plan.cores:
         scene.made.hosts[core["name"]].machine.wall_offset += timedelta(days=3)
-    scene.doer._all_killed(chance=random.Random(1), lasts=SECOND)
+    scene.doer._all_killed(rng=random.Random(1), duration=SECOND)
     scene.sleep(6 * SECOND)
     scene.load(lasts=2 * SECOND).wait()
     _, repeat, task = scene.ask(lane="once", edge=1, like=first)
@@ -209,7 +214,7 @@
     _, late, task = scene.ask(lane="plain", prompt="x" * 300_000)
     scene.sleep(SECOND / 2)
     tree = scene.made.plan.tree
-    scene.doer._put(chance=random.Random(1), tree={**tree, "lanes": {"ask": tree["lanes"]["ask"]}})
+    scene.doer._put(rng=random.Random(1), tree={**tree, "lanes": {"ask": tree["lanes"]["ask"]}})
     task.wait()
     read = scene.rows(what="prefilled", request=f"plain/{late.identity}")
     return [repeat] * (seen.kind == "answered" and repeat.status in (503, 504) and late.kind != "answered") * len(read)
@@ -275,9 +280,9 @@
     scene.doer._leave(engine=scene.made.plan.engines[1])
     task.wait()
     made = scene.made.current_engines["engine-2"]
-    scene.made.listed[2]["leaving"] = True
+    scene.made.engine_rows[2]["leaving"] = True
     assert scene.made.put_engines()
-    scene.doer.leaving.append((scene.made.world.now(), made.incarnation))
+    scene.doer.leave_notices.append((scene.made.world.now(), made.incarnation))
     before = len(scene.rows(what="decode"))
     scene.load(lasts=6 * SECOND).wait()
     return [before] * (len(scene.open_loop.seen) > 200)
@@ -304,7 +309,7 @@
     _stop_at_first_byte(scene)
     acked.append(scene.put(horizonMs=7700) == 200)
     scene.sleep(5 * SECOND)
-    stopped = scene.made.hosts["edge-0"].stopped
+    stopped = scene.made.hosts["edge-0"].pauses
     scene.load(lasts=SECOND).wait()
     return stopped * all(acked)
 
@@ -317,7 +322,7 @@
 
     def stopping(**words: Any) -> Any:
         legs._ask = ask
-        host.stop(at=1, lasts=4 * SECOND)
+        host.schedule_pause(steps=1, duration=4 * SECOND)
         return ask(**words)
 
     legs._ask = stopping
@@ -332,7 +337,7 @@
     head = scene.head()
     chain = scene.made.daemons[head].chain
     address = next(core["http"] for core in scene.made.plan.cores if core["name"] == head)
-    mark = scene.made.ask(address=address, method="GET", path="/config")[1]["mark"]
+    mark = scene.made.request(address=address, method="GET", path="/config")[1]["mark"]
     pushed_at = chain.pushed_at
     while chain.pushed_at == pushed_at:
         scene.sleep(ms(1))
@@ -341,19 +346,21 @@
     sent = scene.made.world.now()
     tree = {**scene.made.plan.tree, "sites": {"a": {"urgency": 7}}}
     fields = {"fields": tree, "headers": {"If-Match": f'"{mark}"'}}
-    status, told = scene.made.ask(address=address, method="PUT", path="/config", **fields)
+    status, told = scene.made.request(address=address, method="PUT", path="/config", **fields)
     mark = told["mark"] if status == 200 else 0
-    scene.doer.told.append(ConfigChange(sent=sent, ended=scene.made.world.now(), tree=tree, status=status, mark=mark))
+    scene.doer.config_changes.append(
+        ConfigChange(sent=sent, ended=scene.made.world.now(), tree=tree, status=status, mark=mark)
+    )
     took = [entry for entry in chain.store.entries if entry.change.get("tree") == tree]
     scene.made.hosts[head].kill()
     scene.made.hosts[head].machine.disk.files.clear()
     for stream in scene.made.hosts[head].streams:
-        stream.flight.clear()  # The whole machine is gone, with what its network still held.
+        stream.in_flight.clear()  # The whole machine is gone, with what its network still held.
     scene.mend(pairs=pairs)
-    scene.doer._kill_for(names=[head], lasts=SECOND)
+    scene.doer._restart(names=[head], duration=SECOND)
     scene.sleep(8 * SECOND)
     acked = scene.put(horizonMs=7900)
-    scene.doer._kill_for(names=cores, lasts=SECOND)
+    scene.doer._restart(names=cores, duration=SECOND)
     scene.sleep(8 * SECOND)
     return took * (acked == 200)
 
@@ -367,7 +374,7 @@
     scene.made.hosts[head].kill()
     disk.syncs_fail = False
     left = [record for record in parse(data=disk.files["chain"])[0] if "7800" in json.dumps(record)]
-    scene.doer._kill_for(names=[head], lasts=SECOND / 5)
+    scene.doer._restart(names=[head], duration=SECOND / 5)
     scene.sleep(6 * SECOND)
     return left * (status != 200)
 
@@ -416,7 +423,7 @@
     def stopping(self: HttpClientConnection, *, method: str, path: str, **words: Any) -> Any:
         if path == "/order" and not stopped:
             stopped.append(self.seam.name)
-            self.seam.stop(at=1, lasts=ms(3300))
+            self.seam.schedule_pause(steps=1, duration=ms(3300))
         return call(self, method=method, path=path, **words)
 
     HttpClientConnection.call = stopping
@@ -441,8 +448,8 @@
     for name in cores:
         scene.made.hosts[name].machine.wall_offset -= timedelta(days=3)
     tail = next(name for name in cores if scene.made.daemons[name].agreement.is_tail())
-    ends = eventlet.spawn(scene.doer._kill_for, names=[tail], lasts=3 * SECOND)
-    scene.doer._kill_for(names=[name for name in [*cores, "edge-0", "edge-1"] if name != tail], lasts=SECOND)
+    ends = eventlet.spawn(scene.doer._restart, names=[tail], duration=3 * SECOND)
+    scene.doer._restart(names=[name for name in [*cores, "edge-0", "edge-1"] if name != tail], duration=SECOND)
     ends.wait()
     scene.healed = scene.made.world.now()
     scene.sleep(19 * SECOND)
--- a/dockmux/simulator/stream.py
+++ b/dockmux/simulator/stream.py
@@ -1,4 +1,6 @@
-"""A TCP stream in memory: bytes in order, bounded buffers, cuts that hold it up, ends that are seen."""
+"""Simulated TCP: in-order byte streams with bounded buffers, retransmission across network cuts, FIN and reset.
+
+A stream has the part of the socket interface that http.client, urllib3, eventlet's WSGI server and dockmux use."""
 
 import errno
 import io
@@ -11,12 +13,13 @@
 from eventlet import hubs
 
 WINDOW_BYTES = 262_144
-RETRANSMIT_SECONDS = 0.2
-RETRANSMIT_MOST = 75  # fifteen seconds, then the stream is given up
+RETRANSMIT_INTERVAL_S = 0.2
+MAX_RETRANSMITS = 75  # 15 s at RETRANSMIT_INTERVAL_S, then the stream fails
 
 
 class SimListener:
-    """A listening socket. Invariant: `arrived` are streams whose asker believes them open already."""
+    """A listening socket. Invariant: `backlog` holds the streams not yet accepted; to the connecting side they are
+    established."""
 
     family = socket.AF_INET
 
@@ -25,10 +28,10 @@
             raise OSError(errno.EADDRINUSE, "address already in use")
         self.host = host
         self.address = address
-        self.arrived: deque[SimStream] = deque()
-        self.waiting: Any = None
+        self.backlog: deque[SimStream] = deque()
+        self.acceptor: Any = None
         host.world.listeners[address] = self
-        host.closing.append(self)
+        host.bound_sockets.append(self)
 
     def __enter__(self) -> "SimListener":
         return self
@@ -44,22 +47,26 @@
         return self.address
 
     def accept(self) -> tuple["SimStream", tuple[str, int]]:
-        while not self.arrived:
-            self.waiting = eventlet.getcurrent()
+        while not self.backlog:
+            self.acceptor = eventlet.getcurrent()
             hubs.get_hub().switch()
-        stream = self.arrived.popleft()
+        stream = self.backlog.popleft()
         return stream, stream.peer_address
 
-    def arrive(self, *, stream: "SimStream") -> None:
-        self.arrived.append(stream)
-        waiting, self.waiting = self.waiting, None
-        if waiting is not None:
-            self.host.world.hub.schedule_in(place=self.host, seconds=0, call=waiting.switch)
+    def enqueue(self, *, stream: "SimStream") -> None:
+        self.backlog.append(stream)
+        acceptor, self.acceptor = self.acceptor, None
+        if acceptor is not None:
+            self.host.world.hub.schedule_in(owner=self.host, seconds=0, call=acceptor.switch)
 
 
 class SimStream:
-    """One end of a stream. Invariants: `inbox` holds what has arrived and is not read, in order; `flight` what
-    was sent and has not arrived, in order; after `ended` nothing more arrives; after `broken` every use fails."""
+    """One end of a stream.
+
+    Invariants: `inbox` holds the data received and not read, in order; `in_flight` the data sent and not delivered, in
+    order, with None for the FIN; after `ended` (FIN received or reading shut down) nothing more arrives; after `broken`
+    (reset or timed out) every use fails; `write_shut` is set once this end has sent its FIN. `unacked`, if set, is the
+    longest time that undelivered data is retransmitted (TCP_USER_TIMEOUT)."""
 
     family = socket.AF_INET
 
@@ -70,58 +77,60 @@
         self.peer_address = peer_address
         self.peer: SimStream | None = None
         self.inbox: deque[bytes] = deque()
-        self.inbox_size = 0
-        self.flight: deque[bytes | None] = deque()
-        self.flight_size = 0
-        self.carrying = False
-        self.tries = 0
+        self.inbox_bytes = 0
+        self.in_flight: deque[bytes | None] = deque()
+        self.in_flight_bytes = 0
+        self.delivery_scheduled = False
+        self.retransmits = 0
         self.ended = False
         self.broken = False
         self.closed = False
-        self.shut = False
-        self.waiting: list[Any] = []
+        self.write_shut = False
+        self.waiters: list[Any] = []
         self.timeout: float | None = None
         self.unacked: timedelta | None = None
-        self.held_since = 0.0
+        self.blocked_since_s = 0.0
         self._io_refs = 0
         host.streams.append(self)
         if len(host.streams) > 2000:
-            host.streams[:] = [kept for kept in host.streams if not kept.closed]
+            host.streams[:] = [stream for stream in host.streams if not stream.closed]
 
-    # Opening.
+    # Connecting.
 
     @classmethod
     def connect(cls, *, host: Any, address: tuple[str, int], wait: timedelta) -> "SimStream":
+        """Opens a stream to `address`; TimeoutError when the machine is unreachable for `wait`,
+        ConnectionRefusedError when nothing listens there."""
         world = host.world
         source, target = host.machine.ip, address[0]
-        deadline = world.hub.moment + wait.total_seconds()
+        deadline_s = world.hub.now_s + wait.total_seconds()
         while (
             target not in world.machines
             or world.blocked(source=source, target=target)
             or world.blocked(source=target, target=source)
         ):
-            if world.hub.moment >= deadline:
+            if world.hub.now_s >= deadline_s:
                 raise TimeoutError(errno.ETIMEDOUT, "timed out")
-            eventlet.sleep(min(RETRANSMIT_SECONDS, max(deadline - world.hub.moment, 0.001)))
+            eventlet.sleep(min(RETRANSMIT_INTERVAL_S, max(deadline_s - world.hub.now_s, 0.001)))
         eventlet.sleep(world.latency(source=source, target=target) + world.latency(source=target, target=source))
         listener = world.listeners.get(address)
         if listener is None or not listener.host.alive:
             raise ConnectionRefusedError(errno.ECONNREFUSED, "connection refused")
         world.next_port += 1
-        own = (source, world.next_port)
-        here = cls(host=host, address=own, peer_address=address)
-        there = cls(host=listener.host, address=address, peer_address=own)
-        here.peer, there.peer = there, here
-        listener.arrive(stream=there)
-        return here
+        client_address = (source, world.next_port)
+        client_end = cls(host=host, address=client_address, peer_address=address)
+        server_end = cls(host=listener.host, address=address, peer_address=client_address)
+        client_end.peer, server_end.peer = server_end, client_end
+        listener.enqueue(stream=server_end)
+        return client_end
 
     # Waiting.
 
     def _wait(self) -> None:
-        """Until something changes, or the stream's timeout."""
+        """Blocks until the state of the stream changes; TimeoutError after the timeout of the stream."""
         task = eventlet.getcurrent()
-        self.waiting.append(task)
-        task.stream_wait = self
+        self.waiters.append(task)
+        task.waiting_on_stream = self
         try:
             if self.timeout is None:
                 hubs.get_hub().switch()
@@ -129,82 +138,82 @@
                 with eventlet.Timeout(self.timeout, TimeoutError("timed out")):
                     hubs.get_hub().switch()
         finally:
-            task.stream_wait = None
-            if task in self.waiting:
-                self.waiting.remove(task)
+            task.waiting_on_stream = None
+            if task in self.waiters:
+                self.waiters.remove(task)
 
     def _wake(self) -> None:
-        waiting, self.waiting = self.waiting, []
-        for task in waiting:
-            self.world.hub.schedule_in(place=self.host, seconds=0, call=_Resume(stream=self, task=task))
+        waiters, self.waiters = self.waiters, []
+        for task in waiters:
+            self.world.hub.schedule_in(owner=self.host, seconds=0, call=_WakeUp(stream=self, task=task))
 
     # Sending.
 
     def send(self, data: Any) -> int:
         data = bytes(data)
-        self.host.step(what="send")
-        if self.closed or self.shut:
+        self.host.count_step(what="send")
+        if self.closed or self.write_shut:
             raise OSError(errno.EPIPE, "broken pipe")
-        while not self.broken and self.flight_size + self.peer.inbox_size > WINDOW_BYTES:
+        while not self.broken and self.in_flight_bytes + self.peer.inbox_bytes > WINDOW_BYTES:
             self._wait()
         if self.broken:
             raise ConnectionResetError(errno.ECONNRESET, "connection reset by peer")
         if data:
-            self._carry(item=data)
+            self._transmit(item=data)
         return len(data)
 
     def sendall(self, data: Any) -> None:
-        view = bytes(data)
-        for place in range(0, len(view), 65536):
-            self.send(view[place : place + 65536])
-
-    def _carry(self, *, item: bytes | None) -> None:
-        self.flight.append(item)
-        self.flight_size += len(item or b"")
-        if not self.carrying:
-            self.carrying = True
-            self._next_hop()
-
-    def _next_hop(self) -> None:
+        payload = bytes(data)
+        for start in range(0, len(payload), 65536):
+            self.send(payload[start : start + 65536])
+
+    def _transmit(self, *, item: bytes | None) -> None:
+        self.in_flight.append(item)
+        self.in_flight_bytes += len(item or b"")
+        if not self.delivery_scheduled:
+            self.delivery_scheduled = True
+            self._schedule_delivery()
+
+    def _schedule_delivery(self) -> None:
         seconds = self.world.latency(source=self.address[0], target=self.peer_address[0])
-        self.world.hub.schedule_in(place=None, seconds=seconds, call=self._hop)
+        self.world.hub.schedule_in(owner=None, seconds=seconds, call=self._deliver)
 
-    def _hop(self) -> None:
-        """What is in flight arrives, unless the way is cut: then it is tried again for a while."""
+    def _deliver(self) -> None:
+        """Delivers all data in flight; while the path is blocked, retries up to `unacked` or MAX_RETRANSMITS."""
         if self.world.blocked(source=self.address[0], target=self.peer_address[0]):
-            self.tries += 1
-            if self.tries == 1:
-                self.held_since = self.world.hub.moment
-            held = self.world.hub.moment - self.held_since
-            dropped = self.unacked is not None and held >= self.unacked.total_seconds()
-            if dropped or self.tries > RETRANSMIT_MOST:
-                self.flight.clear()
-                self.flight_size = 0
-                self._break()
-                self.carrying = False
+            self.retransmits += 1
+            if self.retransmits == 1:
+                self.blocked_since_s = self.world.hub.now_s
+            blocked_s = self.world.hub.now_s - self.blocked_since_s
+            dropped = self.unacked is not None and blocked_s >= self.unacked.total_seconds()
+            if dropped or self.retransmits > MAX_RETRANSMITS:
+                self.in_flight.clear()
+                self.in_flight_bytes = 0
+                self._fail()
+                self.delivery_scheduled = False
                 return
-            self.world.hub.schedule_in(place=None, seconds=RETRANSMIT_SECONDS, call=self._hop)
+            self.world.hub.schedule_in(owner=None, seconds=RETRANSMIT_INTERVAL_S, call=self._deliver)
             return
-        self.tries = 0
-        items, self.flight = self.flight, deque()
-        self.flight_size = 0
-        self.carrying = False
+        self.retransmits = 0
+        items, self.in_flight = self.in_flight, deque()
+        self.in_flight_bytes = 0
+        self.delivery_scheduled = False
         for item in items:
-            self.peer._arrived(item=item)
+            self.peer._receive(item=item)
         self._wake()
 
-    def _arrived(self, *, item: bytes | None) -> None:
+    def _receive(self, *, item: bytes | None) -> None:
         if item is None:
             self.ended = True
         elif self.closed and self._io_refs == 0:
-            self.peer._break()
+            self.peer._fail()
             return
         else:
             self.inbox.append(item)
-            self.inbox_size += len(item)
+            self.inbox_bytes += len(item)
         self._wake()
 
-    def _break(self) -> None:
+    def _fail(self) -> None:
         self.broken = True
         self._wake()
 
@@ -226,7 +235,7 @@
         if len(first) > size:
             self.inbox.appendleft(first[size:])
             first = first[:size]
-        self.inbox_size -= len(first)
+        self.inbox_bytes -= len(first)
         self.peer._wake()
         return first
 
@@ -235,37 +244,37 @@
         buffer[: len(data)] = data
         return len(data)
 
-    # Ending.
+    # Closing.
 
     def shutdown(self, how: int) -> None:
         if how != 1:
-            # A reader on this side finds the end, too.
+            # Also ends reads on this side.
             self.ended = True
             self._wake()
-        if not self.shut:
-            self.shut = True
+        if not self.write_shut:
+            self.write_shut = True
             if not self.broken:
-                self._carry(item=None)
+                self._transmit(item=None)
 
     def close(self) -> None:
         self.closed = True
         if self._io_refs <= 0:
-            self._really_close()
+            self._close_now()
 
-    def _really_close(self) -> None:
+    def _close_now(self) -> None:
         if self.inbox and not self.broken and self.peer is not None:
-            # Closing with unread data resets the stream.
-            self.world.hub.schedule_in(place=None, seconds=0.0005, call=self.peer._break)
+            # As in TCP, closing with unread data resets the peer.
+            self.world.hub.schedule_in(owner=None, seconds=0.0005, call=self.peer._fail)
         self.shutdown(socket.SHUT_RDWR)
         self._wake()
 
     def reset(self) -> None:
-        """The process has ended: its machine ends the stream."""
+        """Ends the stream on behalf of a process that has ended: the machine sends a FIN."""
         if not self.closed:
             self.closed = True
             self._io_refs = 0
-            self.shut = True
-            self._carry(item=None)
+            self.write_shut = True
+            self._transmit(item=None)
 
     def __enter__(self) -> "SimStream":
         return self
@@ -273,7 +282,7 @@
     def __exit__(self, *_: object) -> None:
         self.close()
 
-    # What libraries ask of a socket.
+    # Socket interface used by libraries.
 
     def makefile(self, mode: str = "rb", buffering: int | None = None) -> Any:
         raw = socket.SocketIO(self, mode.replace("b", ""))
@@ -287,7 +296,7 @@
         if self._io_refs > 0:
             self._io_refs -= 1
         if self.closed and self._io_refs == 0:
-            self._really_close()
+            self._close_now()
 
     def settimeout(self, seconds: float | None) -> None:
         self.timeout = seconds
@@ -308,13 +317,13 @@
         return -1
 
 
-class _Resume:
-    """Wakes a task that waits on a stream, unless it has gone on meanwhile."""
+class _WakeUp:
+    """Resumes a task that waits on a stream, unless the task has ended or no longer waits on it."""
 
     def __init__(self, *, stream: SimStream, task: Any) -> None:
         self.stream = stream
         self.task = task
 
     def __call__(self) -> None:
-        if not self.task.dead and getattr(self.task, "stream_wait", None) is self.stream:
+        if not self.task.dead and getattr(self.task, "waiting_on_stream", None) is self.stream:
             self.task.switch()
--- a/dockmux/simulator/virtual_hub.py
+++ b/dockmux/simulator/virtual_hub.py
@@ -1,4 +1,4 @@
-"""An eventlet hub whose time is virtual: it jumps to the next tick, and never sleeps."""
+"""An eventlet hub with virtual time: it advances its clock to the next timer instead of sleeping."""
 
 import heapq
 import itertools
@@ -9,19 +9,22 @@
 from greenlet import getcurrent
 
 
-class Stuck(Exception):
-    """Nothing is due any more: every task waits for something that will not come."""
+class DeadlockError(Exception):
+    """No timer is left: every task waits for an event that cannot occur."""
 
 
 class VirtualHub(BaseHub):
-    """Invariants: timers fire in the order of their moments, and at one moment in the order in which they
-    were set; a timer belongs to the place of the task that it wakes, or else of the task that set it; those
-    of a dead place never fire, those of a frozen one when it thaws, in order."""
+    """Runs tasks under virtual time; `now_s` is the virtual time in seconds.
+
+    Invariants: timers fire in the order of their due times, and those due at the same time in the order in which they
+    were set. The owner of a timer or task is a simulated process (`SimHost`) or None: a timer belongs to the owner of
+    the task that it resumes, or else to the owner of the task that set it. Timers of an ended process never fire; those
+    of a frozen process fire, in order, when it thaws."""
 
     def __init__(self, clock: Callable[[], float] | None = None) -> None:
-        self.moment = 0.0
-        super().__init__(clock=lambda: self.moment)
-        self.order = itertools.count()
+        self.now_s = 0.0
+        super().__init__(clock=lambda: self.now_s)
+        self.sequence = itertools.count()
         self.canceled = 0
 
     @staticmethod
@@ -29,21 +32,21 @@
         return True
 
     def add_timer(self, timer: Any) -> float:
-        if not hasattr(timer, "place"):
-            woken = getattr(timer.tpl[0], "__self__", None)
-            here = getattr(getcurrent(), "place", None)
-            timer.place = getattr(woken, "place", here)
-            if timer.place is not None and hasattr(woken, "gr_frame") and not hasattr(woken, "place"):
-                woken.place = timer.place
-                timer.place.keep(woken)
-        when = self.moment + max(timer.seconds, 0)
-        heapq.heappush(self.timers, (when, next(self.order), timer))
+        if not hasattr(timer, "owner"):
+            resumed = getattr(timer.tpl[0], "__self__", None)
+            current_owner = getattr(getcurrent(), "owner", None)
+            timer.owner = getattr(resumed, "owner", current_owner)
+            if timer.owner is not None and hasattr(resumed, "gr_frame") and not hasattr(resumed, "owner"):
+                resumed.owner = timer.owner
+                timer.owner.track_task(resumed)
+        when = self.now_s + max(timer.seconds, 0)
+        heapq.heappush(self.timers, (when, next(self.sequence), timer))
         return when
 
-    def schedule_in(self, *, place: Any, seconds: float, call: Callable[..., Any]) -> Any:
-        """Sets a timer that belongs to a place, whoever sets it."""
+    def schedule_in(self, *, owner: Any, seconds: float, call: Callable[..., Any]) -> Any:
+        """Sets a timer with the given owner, whichever task calls this."""
         timer = _timer(seconds=seconds, call=call)
-        timer.place = place
+        timer.owner = owner
         self.add_timer(timer)
         return timer
 
@@ -63,11 +66,11 @@
             if timer.called:
                 self.canceled -= 1
                 continue
-            place = timer.place
-            if place is not None and not place.alive:
+            owner = timer.owner
+            if owner is not None and not owner.alive:
                 continue
-            if place is not None and place.frozen:
-                place.parked.append(timer)
+            if owner is not None and owner.frozen:
+                owner.deferred_timers.append(timer)
                 continue
             timer()
 
@@ -80,14 +83,14 @@
     def wait(self, seconds: float | None = None) -> None:
         due = self.sleep_until()
         if due is None:
-            raise Stuck
-        self.moment = max(self.moment, due)
-
-    def thaw(self, *, place: Any) -> None:
-        """Lets a frozen place go on: all that came due meanwhile is due now."""
-        parked, place.parked = place.parked, []
-        for timer in parked:
-            heapq.heappush(self.timers, (self.moment, next(self.order), timer))
+            raise DeadlockError
+        self.now_s = max(self.now_s, due)
+
+    def thaw(self, *, owner: Any) -> None:
+        """Resumes a frozen process: all timers that came due meanwhile are due now."""
+        deferred, owner.deferred_timers = owner.deferred_timers, []
+        for timer in deferred:
+            heapq.heappush(self.timers, (self.now_s, next(self.sequence), timer))
 
 
 def _timer(*, seconds: float, call: Callable[..., Any]) -> Any:
--- a/tests/control/cores.py
+++ b/tests/control/cores.py
@@ -157,7 +157,7 @@
 
 @contextmanager
 def cores(*, seed: int, count: int = 3, survive: int = 1) -> Iterator[Cores]:
-    with World(seed=seed, linkUs=700).open() as world:
+    with World(seed=seed, link_us=700).open() as world:
         made = Cores(world=world, count=count, survive=survive)
         made.begin()
         yield made
--- a/tests/control/founding_test.py
+++ b/tests/control/founding_test.py
@@ -20,7 +20,7 @@
 @pytest.mark.parametrize(("count", "survive"), [(3, 1), (5, 1), (7, 1), (5, 2), (7, 2)])
 @pytest.mark.parametrize("late", [{}, {"core-1": 1.5}, {"core-0": 0.8, "core-2": 0.8}, {"core-1": 0.25}])
 def test_whatever_the_order_of_starts_one_control_plane_is_founded(count: int, survive: int, late: dict[str, float]):
-    with World(seed=count * 10 + survive, linkUs=700).open() as world:
+    with World(seed=count * 10 + survive, link_us=700).open() as world:
         made = Cores(world=world, count=count, survive=survive)
         assert _first_start(made=made, late=late) == 200
         founded = {core.agreement.view.number: None for core in made.running() if core.agreement.view is not None}
@@ -31,7 +31,7 @@
 
 
 def test_a_core_that_is_killed_while_it_founds_goes_on_with_what_it_granted():
-    with World(seed=91, linkUs=700).open() as world:
+    with World(seed=91, link_us=700).open() as world:
         made = Cores(world=world, count=5, survive=2)
         for name in made.names:
             made.start(name=name)
--- a/tests/control_model/machines.py
+++ b/tests/control_model/machines.py
@@ -70,7 +70,7 @@
         """Ends the process; with `unsynced_lost` nothing of what it was writing is found again, as when power goes."""
         host = self.host(place=place)
         if unsynced_lost:
-            host.writing = None
+            host.pending_write = None
         host.kill()
 
     def wipe(self, *, place: int) -> None:
--- a/tests/control_model/observer.py
+++ b/tests/control_model/observer.py
@@ -94,7 +94,7 @@
     """Whether it takes itself to hold a lease. Its machine, which may be about to stop at a read of the time, does not
     count this one."""
     host = agreement.host
-    stop_at, host.stop_at = host.stop_at, None
+    steps_to_pause, host.steps_to_pause = host.steps_to_pause, None
     held = agreement.holds_lease()
-    host.stop_at = stop_at
+    host.steps_to_pause = steps_to_pause
     return held
--- a/tests/control_model/play.py
+++ b/tests/control_model/play.py
@@ -187,16 +187,16 @@
 
     @do_step.register
     def _(self, step: WeatherStep) -> None:
-        self.world.lossPercent, self.world.doubledPercent = step.lossPercent, step.doubledPercent
+        self.world.loss_percent, self.world.duplicate_percent = step.lossPercent, step.doubledPercent
         self.world.jitter = step.jitter
         ips = [self.machines.host(place=place).machine.ip for place in range(len(self.machines.names))]
-        self.world.slow = {(a, b): step.slow for a in ips for b in ips if a != b}
+        self.world.extra_latency = {(a, b): step.slow for a in ips for b in ips if a != b}
 
     @do_step.register
     def _(self, step: HealStep) -> None:
-        self.world.lossPercent = self.world.doubledPercent = 0
+        self.world.loss_percent = self.world.duplicate_percent = 0
         self.world.jitter = timedelta()
-        self.world.slow = {}
+        self.world.extra_latency = {}
         for place in range(len(self.machines.names)):
             self.machines.host(place=place).machine.disk.delay = Disk().delay
 
@@ -247,9 +247,9 @@
                 yield
                 disk.stalled = False
             case Loss.DISK_FULL:
-                disk.limitBytes = sum(len(kept) for kept in disk.files.values()) + FULL_SPARE_BYTES
+                disk.limit_bytes = sum(len(kept) for kept in disk.files.values()) + FULL_SPARE_BYTES
                 yield
-                disk.limitBytes = Disk().limitBytes
+                disk.limit_bytes = Disk().limit_bytes
             case Loss.DISK_FAILING:
                 disk.syncs_fail = True
                 yield
@@ -272,12 +272,12 @@
 
     def _stop_between(self, *, step: LossStep, place: int) -> None:
         host = self.machines.host(place=place)
-        stops = len(host.stopped)
-        host.stop(at=step.at, lasts=step.lasts)
+        stops = len(host.pauses)
+        host.schedule_pause(steps=step.at, duration=step.lasts)
         end = self.world.now() + STOP_LIMIT
-        while len(host.stopped) == stops and self.world.now() < end:
+        while len(host.pauses) == stops and self.world.now() < end:
             self.sleep(ms(5))
-        host.stop_at = None
+        host.steps_to_pause = None
 
     def _cut(self, *, step: CutStep, place: int) -> None:
         ip = self.machines.host(place=place).machine.ip
@@ -309,7 +309,7 @@
 @contextmanager
 def playing(*, members: int, seed: int) -> Iterator[Player]:
     """A control plane that has taken its first change."""
-    with World(seed=seed, linkUs=LINK_US).open() as world:
+    with World(seed=seed, link_us=LINK_US).open() as world:
         player = Player(world=world, members=members)
         player.begin()
         yield player
--- a/tests/cut_requests_test.py
+++ b/tests/cut_requests_test.py
@@ -108,7 +108,7 @@
         asked.append(request)
         return DirectoryReply(digest="", origin="", age_ms=0, engines=[])
 
-    with World(seed=63, linkUs=500).open() as world:
+    with World(seed=63, link_us=500).open() as world:
         hosts = [
             SimHost(world=world, name=ip, machine=world.machine(ip=ip, site="hill")) for ip in ("10.0.0.1", "10.0.0.2")
         ]
--- a/tests/planted_faults/probes.py
+++ b/tests/planted_faults/probes.py
@@ -108,7 +108,7 @@
     """Answers take long: a grant must count from before its ask."""
     with playing(members=3, seed=SEED) as player:
         ips = [player.machines.host(place=place).machine.ip for place in range(3)]
-        player.world.slow = {(a, b): ms(200) for a in ips for b in ips if a != b}
+        player.world.extra_latency = {(a, b): ms(200) for a in ips for b in ips if a != b}
         player.sleep(SECOND)
         agreement = _core(player=player, place=0).agreement
         known: dict[str, timedelta] = {}
@@ -352,7 +352,7 @@
 @contextmanager
 def _alone(*, started: int) -> Iterator[Player]:
     """Some daemons of a plane, with nothing put yet."""
-    with World(seed=SEED, linkUs=LINK_US).open() as world:
+    with World(seed=SEED, link_us=LINK_US).open() as world:
         player = Player(world=world, members=3)
         for place in range(started):
             player.machines.start(place=place)
--- a/tests/planted_faults/scenarios.py
+++ b/tests/planted_faults/scenarios.py
@@ -234,7 +234,7 @@
     """Room is left on these disks for votes, and not for a big entry."""
     for place in places:
         disk = player.machines.host(place=place).machine.disk
-        disk.limitBytes = sum(len(kept) for kept in disk.files.values()) + SPARE_BYTES
+        disk.limit_bytes = sum(len(kept) for kept in disk.files.values()) + SPARE_BYTES
 
 
 def _big(*, base: int) -> Change:
--- a/tests/sends_test.py
+++ b/tests/sends_test.py
@@ -154,7 +154,7 @@
 
 
 def test_a_second_answer_of_a_daemon_is_not_taken_for_the_answer_to_the_next_ask():
-    with World(seed=1, linkUs=700).open() as world:
+    with World(seed=1, link_us=700).open() as world:
         world.start(name="peer", ip="10.2.0.1", site="hill", run=answer_twice)
         here = SimHost(world=world, name="here", machine=world.machine(ip="10.1.0.1", site="hill"))
         here.sleep(wait=ms(10))
--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -157,8 +157,8 @@
 
 def reset(*, stream: SimStream) -> None:
     """The engine's machine resets the connection: nothing more goes either way."""
-    stream.peer._break()
-    stream._break()
+    stream.peer._fail()
+    stream._fail()
 
 
 def forget(*, stream: SimStream) -> None:
@@ -238,13 +238,13 @@
     @contextlib.contextmanager
     def running(self) -> Iterator["Engine"]:
         with TaskGroup(host=self.host) as task_group, self.host.listen(address=self.address) as listener:
-            arrive = listener.arrive
+            enqueue = listener.enqueue
 
             def note(*, stream: Any) -> None:
                 self.sockets[stream.peer_address] = stream
-                arrive(stream=stream)
+                enqueue(stream=stream)
 
-            listener.arrive = note
+            listener.enqueue = note
             self.task_group = task_group
             kept = ServedConnections()
             kept.limits = HeadLimits(size_bytes=HEAD_BYTES_MOST, idle=timedelta(seconds=6))
--- a/tests/standins/fleet.py
+++ b/tests/standins/fleet.py
@@ -256,7 +256,7 @@
 
 @contextmanager
 def fleet(*, seed: int, phases: str = "pdpddd", slots: int = 64, extra: int = EXTRA) -> Iterator[Fleet]:
-    with World(seed=seed, linkUs=700).open() as world:
+    with World(seed=seed, link_us=700).open() as world:
         made = Fleet(world=world, extra=extra)
         made.begin(phases=phases, slots=slots)
         yield made
--- a/tests/stream_test.py
+++ b/tests/stream_test.py
@@ -11,7 +11,7 @@
 def _ends(*, how: int) -> list[bytes]:
     """What a task that waits on a connection reads when another task of its process shuts that down."""
     told: list[bytes] = []
-    with World(seed=1, linkUs=500).open() as world:
+    with World(seed=1, link_us=500).open() as world:
         hosts = [
             SimHost(world=world, name=ip, machine=world.machine(ip=ip, site="hill")) for ip in ("10.0.0.1", "10.0.0.2")
         ]
