--- a/dockmux/simulator/faults.py
+++ b/dockmux/simulator/faults.py
@@ -140,6 +140,7 @@
         self.repaired_at = timedelta()
 
     def run(self, *, fault: Fault) -> None:
+        """Applies a fault; returns when it is over."""
         rng = random.Random(f"{self.seed}-{fault.number}-{fault.kind}")
         getattr(self, "_" + fault.kind)(rng=rng, duration=fault.duration)
         if fault.kind not in CORE_FAULT_KINDS:
@@ -243,6 +244,7 @@
     # Processes and machines.
 
     def _restart(self, *, names: list[str], duration: timedelta) -> None:
+        """Kills the daemons of these names and starts them again after `duration`."""
         for name in names:
             self.fleet.hosts[name].kill()
         self._sleep(duration)
--- a/dockmux/simulator/fleet.py
+++ b/dockmux/simulator/fleet.py
@@ -51,10 +51,10 @@
     def _start_daemon(self, *, daemon: dict[str, Any], daemon_class: Any, data_folder: str) -> None:
         fields = self.plan.daemon_settings(daemon=daemon, data_folder=data_folder)
         fields |= {"seeds": self.seeds} if self.seeds else {}
-        checked = settings.check(fields=fields)
+        daemon_settings = settings.check(fields=fields)
 
         def run(host: SimHost) -> None:
-            running = daemon_class(host=host, settings=checked)
+            running = daemon_class(host=host, settings=daemon_settings)
             with running.running():
                 self.daemons[daemon["name"]] = running
                 while True:
@@ -84,6 +84,7 @@
         self.hosts[engine["engine"]] = self.world.start(name=engine["engine"], ip=ip, site=engine["site"], run=run)
 
     def start_all(self) -> None:
+        """Starts the processes of all engines, cores and edges."""
         for engine in self.plan.engines:
             self.start_engine(engine=engine)
         for core in self.plan.cores:
--- a/dockmux/simulator/stream.py
+++ b/dockmux/simulator/stream.py
@@ -54,6 +54,7 @@
         return stream, stream.peer_address
 
     def enqueue(self, *, stream: "SimStream") -> None:
+        """Adds a stream that a client has connected, and wakes a waiting `accept`."""
         self.backlog.append(stream)
         acceptor, self.acceptor = self.acceptor, None
         if acceptor is not None:
--- a/dockmux/simulator/virtual_hub.py
+++ b/dockmux/simulator/virtual_hub.py
@@ -54,6 +54,7 @@
         return
 
     def timer_canceled(self, timer: Any) -> None:
+        """Removes canceled timers from the heap once more than 20,000 of them make up over half of it."""
         self.canceled += 1
         if self.canceled > 20_000 and self.canceled > len(self.timers) / 2:
             self.timers = [item for item in self.timers if not item[2].called]
