--- a/dockmux/scale_model/fleet.py
+++ b/dockmux/scale_model/fleet.py
@@ -354,7 +354,7 @@
 @contextmanager
 def simulated_fleet(*, size: Size, seed: int, adapter_path: str) -> Iterator[SimulatedFleet]:
     """Provides a fleet in a virtual-time world of its own, with no daemon started yet."""
-    with MeteredWorld(seed=seed, linkUs=1500).open() as world:
+    with MeteredWorld(seed=seed, link_us=1500).open() as world:
         yield SimulatedFleet(world=world, size=size, protocol=load_protocol_adapter(path=adapter_path))
 
 
--- a/tests/control/founding_test.py
+++ b/tests/control/founding_test.py
@@ -20,7 +20,7 @@
 @pytest.mark.parametrize(("count", "survive"), [(3, 1), (5, 1), (7, 1), (5, 2), (7, 2)])
 @pytest.mark.parametrize("late", [{}, {"core-1": 1.5}, {"core-0": 0.8, "core-2": 0.8}, {"core-1": 0.25}])
 def test_one_control_plane_is_founded_in_any_start_order(count: int, survive: int, late: dict[str, float]):
-    with World(seed=count * 10 + survive, linkUs=700).open() as world:
+    with World(seed=count * 10 + survive, link_us=700).open() as world:
         cluster = CoreCluster(world=world, count=count, survive=survive)
         assert _first_start(cluster=cluster, late=late) == 200
         founded = {core.agreement.view.number: None for core in cluster.running() if core.agreement.view is not None}
@@ -33,7 +33,7 @@
 
 
 def test_a_core_killed_during_founding_keeps_its_vote():
-    with World(seed=91, linkUs=700).open() as world:
+    with World(seed=91, link_us=700).open() as world:
         cluster = CoreCluster(world=world, count=5, survive=2)
         for name in cluster.names:
             cluster.start(name=name)
--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -161,8 +161,8 @@
 
 def reset(*, stream: SimStream) -> None:
     """Resets the connection in both directions."""
-    stream.peer._break()
-    stream._break()
+    stream.peer._fail()
+    stream._fail()
 
 
 def drop_connection(*, stream: SimStream) -> None:
@@ -242,13 +242,13 @@
     @contextlib.contextmanager
     def running(self) -> Iterator["Engine"]:
         with TaskGroup(host=self.host) as task_group, self.host.listen(address=self.address) as listener:
-            arrive = listener.arrive
+            enqueue = listener.enqueue
 
             def note(*, stream: Any) -> None:
                 self.sockets[stream.peer_address] = stream
-                arrive(stream=stream)
+                enqueue(stream=stream)
 
-            listener.arrive = note
+            listener.enqueue = note
             self.task_group = task_group
             connections = ServedConnections()
             connections.limits = HeadLimits(size_bytes=MAX_HEAD_BYTES, idle_timeout=timedelta(seconds=6))
