--- a/dockmux/simulator/rules.py
+++ b/dockmux/simulator/rules.py
@@ -1,5 +1,8 @@
-"""For each of the twelve rules a run aimed at it: the danger is brought about on purpose, and is shown to have arisen;
-the rule holds, and is broken when one of its defences is taken away."""
+"""Runs aimed at each of the twelve rules of `checks`.
+
+Each run provokes the hazard that a rule protects against and shows that the hazard occurred. The rule must hold, and
+must be broken when any one of its defences is removed by a patch.
+"""
 
 import dataclasses
 import json
@@ -43,8 +46,8 @@
 SECOND = timedelta(seconds=1)
 
 
-def small(**settings: int) -> FleetPlan:
-    """Two edges, three cores, one engine that reads and two that write."""
+def small_plan(**settings: int) -> FleetPlan:
+    """Two edges, three cores, one prefill engine and two decode engines."""
     return build(
         fields={
             "name": "small", "net": 49, "sites": ["a", "b"], "cores": 3, "edges": 2, "service": "catalogue",
@@ -67,402 +70,427 @@
     )  # fmt: skip
 
 
-class Scene:
-    """A small fleet under hand. Invariant: `truth` is gathered as a day's is, from those outside."""
+class FleetHarness:
+    """Drives a small simulated fleet by hand.
+
+    Invariant: `ground_truth` is collected as that of a simulated day, from user agents, operators and engines only.
+    """
 
-    def __init__(self, *, made: SimFleet) -> None:
-        self.made = made
-        self.doer = Doer(fleet=made, seed=1)
-        self.open_loop = OpenLoopLoad(host=made.outside, plan=made.plan, seed=1)
-        status, told = made.ask_any(method="GET", path="/config")
-        now = made.world.now()
-        self.doer.told.append(ConfigChange(sent=now, ended=now, tree=told["tree"], status=status, mark=told["mark"]))
-        self.healed = now
-        self.perSecond = 0.0
+    def __init__(self, *, sim: SimFleet) -> None:
+        self.sim = sim
+        self.fault_injector = Doer(fleet=sim, seed=1)
+        self.open_loop = OpenLoopLoad(host=sim.outside, plan=sim.plan, seed=1)
+        status, body = sim.ask_any(method="GET", path="/config")
+        now = sim.world.now()
+        self.fault_injector.told.append(
+            ConfigChange(sent=now, ended=now, tree=body["tree"], status=status, mark=body["mark"])
+        )
+        self.repaired_at = now
+        self.requests_per_second = 0.0
 
-    def sleep(self, span: timedelta) -> None:
-        eventlet.sleep(span.total_seconds())
+    def sleep(self, duration: timedelta) -> None:
+        eventlet.sleep(duration.total_seconds())
 
-    def load(self, *, lasts: timedelta, edge: int | None = None) -> Any:
-        """The mix at its normal rate, for a while, at any edge or at one."""
+    def start_load(self, *, duration: timedelta, edge: int | None = None) -> Any:
+        """Starts the mix at its normal rate for `duration`, at all edges or at one; returns the task."""
         open_loop = self.open_loop
         if edge is not None:
-            open_loop = OpenLoopLoad(host=self.made.outside, plan=dataclasses.replace(
-                self.made.plan, edges=[self.made.plan.edges[edge]]), seed=2 + edge)  # fmt: skip
+            open_loop = OpenLoopLoad(host=self.sim.outside, plan=dataclasses.replace(
+                self.sim.plan, edges=[self.sim.plan.edges[edge]]), seed=2 + edge)  # fmt: skip
             open_loop.seen = self.open_loop.seen
-        return eventlet.spawn(open_loop.run, lasts=lasts, since=timedelta())
-
-    def ask(self, *, lane: str, edge: int = 0, pieces: int = 6, prompt: str = "", like: Any = None) -> Any:
-        """Sends one request, or another attempt at one; gives the ask, what is seen of it, and the task."""
-        kind = next(kind for kind in self.made.plan.mix if kind["lane"] == lane)
-        ask = like or self.open_loop.ask(kind={**kind, "pieces": [pieces, pieces]})
+        return eventlet.spawn(open_loop.run, lasts=duration, since=timedelta())
+
+    def send_request(
+        self, *, lane: str, edge: int = 0, pieces: int = 6, prompt: str = "", repeat_of: Any = None
+    ) -> Any:
+        """Sends a new request or another attempt of one; returns the request, the attempt and the sending task."""
+        kind = next(kind for kind in self.sim.plan.mix if kind["lane"] == lane)
+        request = repeat_of or self.open_loop.ask(kind={**kind, "pieces": [pieces, pieces]})
         if prompt:
-            ask = dataclasses.replace(ask, body={**ask.body, "prompt": prompt})
-        ask = dataclasses.replace(ask, edge=self.made.plan.edges[edge]["http"], numbered=False)
-        attempt = 1 + sum(seen.identity == ask.identity for seen in self.open_loop.seen)
-        now = self.made.world.now()
-        seen = Attempt(lane=ask.lane, identity=ask.identity, edge=ask.edge, intended=now, attempt=attempt)
-        self.open_loop.seen.append(seen)
-        task = eventlet.spawn(send, host=self.made.outside, ask=ask, seen=seen, since=timedelta())
-        return ask, seen, task
-
-    def cut(self, *, names: list[str], others: list[str]) -> set[tuple[str, str]]:
-        """Cuts every way between the machines of two sets of processes."""
-        here, there = ([self.made.hosts[name].machine.ip for name in side] for side in (names, others))
-        pairs = {pair for a in here for b in there for pair in ((a, b), (b, a))}
-        self.made.world.cuts |= pairs
+            request = dataclasses.replace(request, body={**request.body, "prompt": prompt})
+        request = dataclasses.replace(request, edge=self.sim.plan.edges[edge]["http"], numbered=False)
+        attempt_number = 1 + sum(earlier.identity == request.identity for earlier in self.open_loop.seen)
+        now = self.sim.world.now()
+        attempt = Attempt(
+            lane=request.lane, identity=request.identity, edge=request.edge, intended=now, attempt=attempt_number
+        )
+        self.open_loop.seen.append(attempt)
+        task = eventlet.spawn(send, host=self.sim.outside, ask=request, seen=attempt, since=timedelta())
+        return request, attempt, task
+
+    def cut_links(self, *, names: list[str], others: list[str]) -> set[tuple[str, str]]:
+        """Cuts all links between the machines of two sets of processes; returns the pairs of IPs that it cut."""
+        ips, other_ips = ([self.sim.hosts[name].machine.ip for name in side] for side in (names, others))
+        pairs = {pair for a in ips for b in other_ips for pair in ((a, b), (b, a))}
+        self.sim.world.cuts |= pairs
         return pairs
 
-    def mend(self, *, pairs: set[tuple[str, str]]) -> None:
-        self.made.world.cuts -= pairs
+    def restore_links(self, *, pairs: set[tuple[str, str]]) -> None:
+        self.sim.world.cuts -= pairs
 
-    def put(self, **defaults: Any) -> int:
-        """Changes a default; gives the status."""
-        tree = self.made.plan.tree
+    def put_config(self, **defaults: Any) -> int:
+        """Changes defaults of the configuration; returns the HTTP status."""
+        tree = self.sim.plan.tree
         tree = {**tree, "defaults": {**tree["defaults"], **defaults}}
-        return self.doer._put(chance=random.Random(1), tree=tree)
+        return self.fault_injector._put(chance=random.Random(1), tree=tree)
 
-    def head(self) -> str:
+    def head_name(self) -> str:
         return next(
-            name for name, daemon in sorted(self.made.daemons.items())
-            if hasattr(daemon, "agreement") and self.made.hosts[name].alive and daemon.agreement.is_head()
+            name for name, daemon in sorted(self.sim.daemons.items())
+            if hasattr(daemon, "agreement") and self.sim.hosts[name].alive and daemon.agreement.is_head()
         )  # fmt: skip
 
-    def rows(self, *, what: str, **fields: Any) -> list[Any]:
+    def engine_events(self, *, what: str, **fields: Any) -> list[Any]:
         return [
-            row for row in collect_engine_events(engines=self.made.engines)
-            if row.what == what and all(row.fields.get(key) == value for key, value in fields.items())
+            event for event in collect_engine_events(engines=self.sim.engines)
+            if event.what == what and all(event.fields.get(key) == value for key, value in fields.items())
         ]  # fmt: skip
 
-    def written(self, *, request: str) -> Any:
-        """Waits until a request's writing leg has begun."""
+    def wait_for_decode(self, *, request: str) -> Any:
+        """Waits until a request's decode call has begun; returns its event. AssertionError after 5 s."""
         for _ in range(5000):
-            rows = self.rows(what="decode", request=request)
-            if rows:
-                return rows[0]
+            events = self.engine_events(what="decode", request=request)
+            if events:
+                return events[0]
             self.sleep(ms(1))
         raise AssertionError(request)
 
-    def truth(self) -> GroundTruth:
-        kept = None
+    def ground_truth(self) -> GroundTruth:
+        kept_configs = None
         for _ in range(40):
-            status, told = self.made.ask_any(method="GET", path="/history")
+            status, body = self.sim.ask_any(method="GET", path="/history")
             if status == 200:
-                rows = [self.made.ask_any(method="GET", path=f"/config/{row['mark']}")[1] for row in told["configs"]]
-                kept = [{"mark": row["mark"], "tree": row["tree"]} for row in rows]
+                configs = [self.sim.ask_any(method="GET", path=f"/config/{row['mark']}")[1] for row in body["configs"]]
+                kept_configs = [{"mark": config["mark"], "tree": config["tree"]} for config in configs]
                 break
             self.sleep(SECOND / 2)
         return GroundTruth(
-            attempts=self.open_loop.seen, engine_events=collect_engine_events(engines=self.made.engines),
-            config_changes=self.doer.told, leave_notices=self.doer.leaving,
-            site_by_edge={edge["name"]: edge["site"] for edge in self.made.plan.edges},
-            requests_per_second=self.perSecond, repaired_at=self.healed,
-            ended_at=self.made.world.now(), kept_configs=kept,
+            attempts=self.open_loop.seen, engine_events=collect_engine_events(engines=self.sim.engines),
+            config_changes=self.fault_injector.told, leave_notices=self.fault_injector.leaving,
+            site_by_edge={edge["name"]: edge["site"] for edge in self.sim.plan.edges},
+            requests_per_second=self.requests_per_second, repaired_at=self.repaired_at,
+            ended_at=self.sim.world.now(), kept_configs=kept_configs,
         )  # fmt: skip
 
 
-# The twelve, each as it is brought about. What is given is the danger that arose: the run is worth nothing without it.
+# The scenarios, one or two for each rule. Each returns evidence that the hazard occurred; an empty list makes the run
+# worthless, since the rule was not put to the test.
 
 
-def once(scene: Scene) -> list[Any]:
-    """1. An engine ends in the middle of a writing leg; a daemon ends, and the repeat comes to another."""
-    scene.load(lasts=4 * SECOND)
-    scene.sleep(2 * SECOND)
-    first, _, first_task = scene.ask(lane="once", pieces=200)
-    row = scene.written(request=f"once/{first.identity}")
-    scene.made.hosts[row.engine].kill()
-    second, _, _ = scene.ask(lane="once", pieces=60)
-    scene.sleep(SECOND / 4)
-    ran = scene.rows(what="decode", request=f"once/{second.identity}")
-    scene.made.hosts["edge-0"].kill()
-    _, repeat, task = scene.ask(lane="once", edge=1, like=second)
+def once(harness: FleetHarness) -> list[Any]:
+    """1. An engine is killed during a decode call; then an edge is killed, and the repeat arrives at another edge."""
+    harness.start_load(duration=4 * SECOND)
+    harness.sleep(2 * SECOND)
+    first, _, first_task = harness.send_request(lane="once", pieces=200)
+    event = harness.wait_for_decode(request=f"once/{first.identity}")
+    harness.sim.hosts[event.engine].kill()
+    second, _, _ = harness.send_request(lane="once", pieces=60)
+    harness.sleep(SECOND / 4)
+    repeat_calls = harness.engine_events(what="decode", request=f"once/{second.identity}")
+    harness.sim.hosts["edge-0"].kill()
+    _, repeat, task = harness.send_request(lane="once", edge=1, repeat_of=second)
     task.wait()
     first_task.wait()
-    scene.sleep(2 * SECOND)
-    return [row] * (repeat.status != 0) * len(ran)
+    harness.sleep(2 * SECOND)
+    return [event] * (repeat.status != 0) * len(repeat_calls)
 
 
-def once_for_a_day(scene: Scene) -> list[Any]:
-    """1. A request has run; the wall clocks of the cores go days ahead, everything is restarted, others run, and the
-    request is asked for again."""
-    first, seen, task = scene.ask(lane="once")
+def once_for_a_day(harness: FleetHarness) -> list[Any]:
+    """1. A request runs; the wall clocks of the cores go three days ahead and everything is restarted; other requests
+    run, and the first one is repeated."""
+    first, attempt, task = harness.send_request(lane="once")
     task.wait()
-    for core in scene.made.plan.cores:
-        scene.made.hosts[core["name"]].machine.wall_offset += timedelta(days=3)
-    scene.doer._all_killed(chance=random.Random(1), lasts=SECOND)
-    scene.sleep(6 * SECOND)
-    scene.load(lasts=2 * SECOND).wait()
-    _, repeat, task = scene.ask(lane="once", edge=1, like=first)
+    for core in harness.sim.plan.cores:
+        harness.sim.hosts[core["name"]].machine.wall_offset += timedelta(days=3)
+    harness.fault_injector._all_killed(chance=random.Random(1), lasts=SECOND)
+    harness.sleep(6 * SECOND)
+    harness.start_load(duration=2 * SECOND).wait()
+    _, repeat, task = harness.send_request(lane="once", edge=1, repeat_of=first)
     task.wait()
-    return scene.rows(what="decode", lane="once")[1:] * (seen.kind == "answered") * (repeat.status in (200, 504))
+    return (
+        harness.engine_events(what="decode", lane="once")[1:]
+        * (attempt.kind == "answered")
+        * (repeat.status in (200, 504))
+    )
 
 
-def refused(scene: Scene) -> list[Any]:
-    """2. A repeat of what has run comes to a daemon that cannot know; a lane goes away between reading and writing."""
-    first, seen, task = scene.ask(lane="once")
+def refused(harness: FleetHarness) -> list[Any]:
+    """2. A repeat arrives at an edge that can't know of the first run; a lane is removed between prefill and decode."""
+    first, attempt, task = harness.send_request(lane="once")
     task.wait()
-    others = [*(core["name"] for core in scene.made.plan.cores), "edge-0"]
-    pairs = scene.cut(names=["edge-1"], others=others)
-    scene.sleep(2 * SECOND)
-    _, repeat, task = scene.ask(lane="once", edge=1, like=first)
+    others = [*(core["name"] for core in harness.sim.plan.cores), "edge-0"]
+    pairs = harness.cut_links(names=["edge-1"], others=others)
+    harness.sleep(2 * SECOND)
+    _, repeat, task = harness.send_request(lane="once", edge=1, repeat_of=first)
     task.wait()
-    scene.mend(pairs=pairs)
-    scene.sleep(2 * SECOND)
-    _, late, task = scene.ask(lane="plain", prompt="x" * 300_000)
-    scene.sleep(SECOND / 2)
-    tree = scene.made.plan.tree
-    scene.doer._put(chance=random.Random(1), tree={**tree, "lanes": {"ask": tree["lanes"]["ask"]}})
+    harness.restore_links(pairs=pairs)
+    harness.sleep(2 * SECOND)
+    _, late, task = harness.send_request(lane="plain", prompt="x" * 300_000)
+    harness.sleep(SECOND / 2)
+    tree = harness.sim.plan.tree
+    harness.fault_injector._put(chance=random.Random(1), tree={**tree, "lanes": {"ask": tree["lanes"]["ask"]}})
     task.wait()
-    read = scene.rows(what="prefilled", request=f"plain/{late.identity}")
-    return [repeat] * (seen.kind == "answered" and repeat.status in (503, 504) and late.kind != "answered") * len(read)
-
-
-def whole(scene: Scene) -> list[Any]:
-    """3. An answer breaks off on a lane that is not resumed; one identity comes with two bodies."""
-    scene.load(lasts=3 * SECOND)
-    scene.sleep(2 * SECOND)
-    first, cut, task = scene.ask(lane="plain", pieces=200)
-    row = scene.written(request=f"plain/{first.identity}")
-    scene.sleep(SECOND / 2)
-    scene.made.hosts[row.engine].kill()
+    prefilled = harness.engine_events(what="prefilled", request=f"plain/{late.identity}")
+    return (
+        [repeat]
+        * (attempt.kind == "answered" and repeat.status in (503, 504) and late.kind != "answered")
+        * len(prefilled)
+    )
+
+
+def whole(harness: FleetHarness) -> list[Any]:
+    """3. An answer breaks off on a lane that is not resumable; two different bodies arrive under one identity."""
+    harness.start_load(duration=3 * SECOND)
+    harness.sleep(2 * SECOND)
+    first, cut_attempt, task = harness.send_request(lane="plain", pieces=200)
+    event = harness.wait_for_decode(request=f"plain/{first.identity}")
+    harness.sleep(SECOND / 2)
+    harness.sim.hosts[event.engine].kill()
     task.wait()
-    one, _, task = scene.ask(lane="plain")
+    one, _, task = harness.send_request(lane="plain")
     task.wait()
-    kind = next(kind for kind in scene.made.plan.mix if kind["lane"] == "plain")
-    other = dataclasses.replace(scene.open_loop.ask(kind={**kind, "pieces": [6, 6]}), identity=one.identity)
-    _, second, task = scene.ask(lane="plain", like=other)
+    kind = next(kind for kind in harness.sim.plan.mix if kind["lane"] == "plain")
+    other = dataclasses.replace(harness.open_loop.ask(kind={**kind, "pieces": [6, 6]}), identity=one.identity)
+    _, second, task = harness.send_request(lane="plain", repeat_of=other)
     task.wait()
-    return [row] * (cut.count > 0) * (second.status in (200, 409))
+    return [event] * (cut_attempt.count > 0) * (second.status in (200, 409))
 
 
-def in_order(scene: Scene) -> list[Any]:
-    """4. An answer is gone on with at another engine, and that engine begins anew."""
-    scene.load(lasts=3 * SECOND)
-    scene.sleep(2 * SECOND)
-    ask, seen, task = scene.ask(lane="ask", pieces=200)
-    row = scene.written(request=f"ask/{ask.identity}")
-    scene.sleep(SECOND / 2)
-    scene.made.hosts[row.engine].kill()
+def in_order(harness: FleetHarness) -> list[Any]:
+    """4. An answer is resumed at another engine, and that engine restarts from the first piece."""
+    harness.start_load(duration=3 * SECOND)
+    harness.sleep(2 * SECOND)
+    request, attempt, task = harness.send_request(lane="ask", pieces=200)
+    event = harness.wait_for_decode(request=f"ask/{request.identity}")
+    harness.sleep(SECOND / 2)
+    harness.sim.hosts[event.engine].kill()
     task.wait()
-    return scene.rows(what="decode", request=f"ask/{ask.identity}")[1:] * (seen.count > 0)
+    return harness.engine_events(what="decode", request=f"ask/{request.identity}")[1:] * (attempt.count > 0)
 
 
-def memory(scene: Scene) -> list[Any]:
-    """5. A reading engine answers with another request's tag."""
-    for engine in scene.made.current_engines.values():
+def memory(harness: FleetHarness) -> list[Any]:
+    """5. A prefill engine returns the KV cache handle of another request."""
+    for engine in harness.sim.current_engines.values():
         engine.mixed = True
-    tasks = [scene.ask(lane="plain")[2] for _ in range(4)]
+    tasks = [harness.send_request(lane="plain")[2] for _ in range(4)]
     for task in tasks:
         task.wait()
-    return scene.rows(what="mixed")
+    return harness.engine_events(what="mixed")
 
 
-def service(scene: Scene) -> list[Any]:
-    """6. An engine's address belongs to another service before the list says so."""
-    task = scene.load(lasts=5 * SECOND)
-    scene.sleep(SECOND)
-    engine = scene.made.plan.engines[2]
-    scene.made.hosts[engine["engine"]].kill()
-    scene.made.start_engine(engine={**engine, "engine": "stranger", "service": "elsewhere"})
+def service(harness: FleetHarness) -> list[Any]:
+    """6. An engine of another service takes over an address before the engine list is updated."""
+    task = harness.start_load(duration=5 * SECOND)
+    harness.sleep(SECOND)
+    engine = harness.sim.plan.engines[2]
+    harness.sim.hosts[engine["engine"]].kill()
+    harness.sim.start_engine(engine={**engine, "engine": "stranger", "service": "elsewhere"})
     task.wait()
     return [
-        at for at, _, log_event, _ in scene.made.world.logged if log_event is LogEvent.ENGINE_IDENTITY_MISMATCH
-    ] or scene.rows(what="rejected", why="not that engine")
+        at for at, _, log_event, _ in harness.sim.world.logged if log_event is LogEvent.ENGINE_IDENTITY_MISMATCH
+    ] or harness.engine_events(what="rejected", why="not that engine")
 
 
-def leaving(scene: Scene) -> list[Any]:
-    """7. One engine says that it leaves, the list says it of another; the load goes on."""
-    task = scene.load(lasts=9 * SECOND)
-    scene.sleep(SECOND)
-    scene.doer._leave(engine=scene.made.plan.engines[1])
+def leaving(harness: FleetHarness) -> list[Any]:
+    """7. One engine reports that it is leaving, the engine list says it of another; the load continues."""
+    task = harness.start_load(duration=9 * SECOND)
+    harness.sleep(SECOND)
+    harness.fault_injector._leave(engine=harness.sim.plan.engines[1])
     task.wait()
-    made = scene.made.current_engines["engine-2"]
-    scene.made.listed[2]["leaving"] = True
-    assert scene.made.put_engines()
-    scene.doer.leaving.append((scene.made.world.now(), made.incarnation))
-    before = len(scene.rows(what="decode"))
-    scene.load(lasts=6 * SECOND).wait()
-    return [before] * (len(scene.open_loop.seen) > 200)
-
-
-def honoured(scene: Scene) -> list[Any]:
-    """8. A configuration comes into use while one daemon is cut off for long, another for a moment, and a third
-    stands still between its last look and its first byte."""
-    cores = [core["name"] for core in scene.made.plan.cores]
-    tasks = [scene.load(lasts=14 * SECOND, edge=edge) for edge in (0, 1)]
-    scene.sleep(SECOND)
-    pairs = scene.cut(names=["edge-1"], others=[*cores, "edge-0"])
-    acked = [scene.put(horizonMs=7900) == 200]
-    scene.sleep(5 * SECOND)
-    scene.mend(pairs=pairs)
-    scene.sleep(2 * SECOND)
-    pairs = scene.cut(names=["edge-1"], others=[*cores, "edge-0"])
-    acked.append(scene.put(horizonMs=7800) == 200)
-    scene.sleep(ms(1000))
-    scene.mend(pairs=pairs)
-    scene.sleep(3 * SECOND)
+    engine = harness.sim.current_engines["engine-2"]
+    harness.sim.listed[2]["leaving"] = True
+    assert harness.sim.put_engines()
+    harness.fault_injector.leaving.append((harness.sim.world.now(), engine.incarnation))
+    before = len(harness.engine_events(what="decode"))
+    harness.start_load(duration=6 * SECOND).wait()
+    return [before] * (len(harness.open_loop.seen) > 200)
+
+
+def honoured(harness: FleetHarness) -> list[Any]:
+    """8. A configuration becomes active while an edge is cut off for 5 s, then another one while it is cut off for 1 s,
+    then a third while an edge is suspended between its last check and a call's first byte."""
+    cores = [core["name"] for core in harness.sim.plan.cores]
+    tasks = [harness.start_load(duration=14 * SECOND, edge=edge) for edge in (0, 1)]
+    harness.sleep(SECOND)
+    pairs = harness.cut_links(names=["edge-1"], others=[*cores, "edge-0"])
+    acked = [harness.put_config(horizonMs=7900) == 200]
+    harness.sleep(5 * SECOND)
+    harness.restore_links(pairs=pairs)
+    harness.sleep(2 * SECOND)
+    pairs = harness.cut_links(names=["edge-1"], others=[*cores, "edge-0"])
+    acked.append(harness.put_config(horizonMs=7800) == 200)
+    harness.sleep(ms(1000))
+    harness.restore_links(pairs=pairs)
+    harness.sleep(3 * SECOND)
     for task in tasks:
         task.wait()
-    _stop_at_first_byte(scene)
-    acked.append(scene.put(horizonMs=7700) == 200)
-    scene.sleep(5 * SECOND)
-    stopped = scene.made.hosts["edge-0"].stopped
-    scene.load(lasts=SECOND).wait()
-    return stopped * all(acked)
-
-
-def _stop_at_first_byte(scene: Scene) -> None:
-    """Edge 0 stands still for four seconds just before a leg's first byte."""
-    host = scene.made.hosts["edge-0"]
-    legs = scene.made.daemons["edge-0"].table.legs
+    _pause_before_first_byte(harness)
+    acked.append(harness.put_config(horizonMs=7700) == 200)
+    harness.sleep(5 * SECOND)
+    pauses = harness.sim.hosts["edge-0"].stopped
+    harness.start_load(duration=SECOND).wait()
+    return pauses * all(acked)
+
+
+def _pause_before_first_byte(harness: FleetHarness) -> None:
+    """Suspends edge 0 for four seconds just before the first byte of an engine call."""
+    host = harness.sim.hosts["edge-0"]
+    legs = harness.sim.daemons["edge-0"].table.legs
     ask = legs._ask
 
-    def stopping(**words: Any) -> Any:
+    def pausing(**kwargs: Any) -> Any:
         legs._ask = ask
         host.stop(at=1, lasts=4 * SECOND)
-        return ask(**words)
+        return ask(**kwargs)
 
-    legs._ask = stopping
-    scene.ask(lane="plain")
-    scene.sleep(ms(20))
+    legs._ask = pausing
+    harness.send_request(lane="plain")
+    harness.sleep(ms(20))
 
 
-def kept(scene: Scene) -> list[Any]:
-    """9. The head loses its disk just after taking a change that no other core has; all are killed just after an
-    acknowledged one."""
-    cores = [core["name"] for core in scene.made.plan.cores]
-    head = scene.head()
-    chain = scene.made.daemons[head].chain
-    address = next(core["http"] for core in scene.made.plan.cores if core["name"] == head)
-    mark = scene.made.ask(address=address, method="GET", path="/config")[1]["mark"]
+def kept(harness: FleetHarness) -> list[Any]:
+    """9. The head loses its disk just after accepting a change that no other core has; all cores are killed just after
+    an acknowledged one."""
+    cores = [core["name"] for core in harness.sim.plan.cores]
+    head = harness.head_name()
+    chain = harness.sim.daemons[head].chain
+    address = next(core["http"] for core in harness.sim.plan.cores if core["name"] == head)
+    mark = harness.sim.ask(address=address, method="GET", path="/config")[1]["mark"]
     pushed_at = chain.pushed_at
     while chain.pushed_at == pushed_at:
-        scene.sleep(ms(1))
-    # The chain has just been gone through: the head takes the change before it finds that it is alone.
-    pairs = scene.cut(names=[head], others=[name for name in cores if name != head])
-    sent = scene.made.world.now()
-    tree = {**scene.made.plan.tree, "sites": {"a": {"urgency": 7}}}
+        harness.sleep(ms(1))
+    # The head has just sent to the chain, so it accepts the change before it notices that it is cut off.
+    pairs = harness.cut_links(names=[head], others=[name for name in cores if name != head])
+    sent = harness.sim.world.now()
+    tree = {**harness.sim.plan.tree, "sites": {"a": {"urgency": 7}}}
     fields = {"fields": tree, "headers": {"If-Match": f'"{mark}"'}}
-    status, told = scene.made.ask(address=address, method="PUT", path="/config", **fields)
-    mark = told["mark"] if status == 200 else 0
-    scene.doer.told.append(ConfigChange(sent=sent, ended=scene.made.world.now(), tree=tree, status=status, mark=mark))
-    took = [entry for entry in chain.store.entries if entry.change.get("tree") == tree]
-    scene.made.hosts[head].kill()
-    scene.made.hosts[head].machine.disk.files.clear()
-    for stream in scene.made.hosts[head].streams:
-        stream.flight.clear()  # The whole machine is gone, with what its network still held.
-    scene.mend(pairs=pairs)
-    scene.doer._kill_for(names=[head], lasts=SECOND)
-    scene.sleep(8 * SECOND)
-    acked = scene.put(horizonMs=7900)
-    scene.doer._kill_for(names=cores, lasts=SECOND)
-    scene.sleep(8 * SECOND)
-    return took * (acked == 200)
-
-
-def unsynced(scene: Scene) -> list[Any]:
-    """9. The head's disk takes a change, fails to sync it, and the head is killed before it can write again."""
-    head = scene.head()
-    disk = scene.made.hosts[head].machine.disk
+    status, body = harness.sim.ask(address=address, method="PUT", path="/config", **fields)
+    mark = body["mark"] if status == 200 else 0
+    harness.fault_injector.told.append(
+        ConfigChange(sent=sent, ended=harness.sim.world.now(), tree=tree, status=status, mark=mark)
+    )
+    accepted = [entry for entry in chain.store.entries if entry.change.get("tree") == tree]
+    harness.sim.hosts[head].kill()
+    harness.sim.hosts[head].machine.disk.files.clear()
+    for stream in harness.sim.hosts[head].streams:
+        stream.flight.clear()  # The whole machine is lost, with the bytes that it had in flight.
+    harness.restore_links(pairs=pairs)
+    harness.fault_injector._kill_for(names=[head], lasts=SECOND)
+    harness.sleep(8 * SECOND)
+    acked = harness.put_config(horizonMs=7900)
+    harness.fault_injector._kill_for(names=cores, lasts=SECOND)
+    harness.sleep(8 * SECOND)
+    return accepted * (acked == 200)
+
+
+def unsynced(harness: FleetHarness) -> list[Any]:
+    """9. The head's disk stores a change but fails to sync it; the head is killed before it can write again."""
+    head = harness.head_name()
+    disk = harness.sim.hosts[head].machine.disk
     disk.syncs_fail = True
-    status = scene.put(horizonMs=7800)
-    scene.made.hosts[head].kill()
+    status = harness.put_config(horizonMs=7800)
+    harness.sim.hosts[head].kill()
     disk.syncs_fail = False
-    left = [record for record in parse(data=disk.files["chain"])[0] if "7800" in json.dumps(record)]
-    scene.doer._kill_for(names=[head], lasts=SECOND / 5)
-    scene.sleep(6 * SECOND)
-    return left * (status != 200)
-
-
-def extra(scene: Scene) -> list[Any]:
-    """10. All memory lapses, over and over, under load."""
-    scene.made.plan.tree["services"]["catalogue"].pop("extraPercent")
-    assert scene.put(horizonMs=7900) == 200
-    scene.sleep(3 * SECOND)
-    task = scene.load(lasts=12 * SECOND)
-    scene.sleep(4 * SECOND)
-    for engine in scene.made.current_engines.values():
+    records = [record for record in parse(data=disk.files["chain"])[0] if "7800" in json.dumps(record)]
+    harness.fault_injector._kill_for(names=[head], lasts=SECOND / 5)
+    harness.sleep(6 * SECOND)
+    return records * (status != 200)
+
+
+def extra(harness: FleetHarness) -> list[Any]:
+    """10. Every KV cache entry expires at once, again and again, under load."""
+    harness.sim.plan.tree["services"]["catalogue"].pop("extraPercent")
+    assert harness.put_config(horizonMs=7900) == 200
+    harness.sleep(3 * SECOND)
+    task = harness.start_load(duration=12 * SECOND)
+    harness.sleep(4 * SECOND)
+    for engine in harness.sim.current_engines.values():
         engine.speed = dataclasses.replace(engine.speed, memoryMs=0)
     task.wait()
-    return scene.rows(what="no_memory")[20:]
+    return harness.engine_events(what="no_memory")[20:]
 
 
 def _always_move(*, engines: list[dict[str, Any]], works: dict[str, Any]) -> Move | None:
+    """Always asks for engine-2 to switch phase, so that orders are frequent."""
     engine = next((engine for engine in engines if engine["engine"] == "engine-2"), None)
     if engine is None or "engine-2" not in works:
         return None
     return Move(engine=engine, phase="prefill" if works["engine-2"].phase == "decode" else "decode")
 
 
-def commanded(scene: Scene) -> list[Any]:
-    """11. The head is cut off just after an order, and its successor has one as well; then a head stands still between
-    its last look and an order's first byte, and wakes before its successor commands."""
-    cores = [core["name"] for core in scene.made.plan.cores]
+def commanded(harness: FleetHarness) -> list[Any]:
+    """11. The head is cut off just after an order and its successor sends one too. Then a head is suspended between its
+    last check and an order's first byte; it resumes before its successor sends orders."""
+    cores = [core["name"] for core in harness.sim.plan.cores]
 
-    def ordered() -> int:
-        return len(scene.rows(what="order"))
+    def order_count() -> int:
+        return len(harness.engine_events(what="order"))
 
-    def next_order(limit: timedelta = 20 * SECOND) -> None:
-        count = ordered()
-        assert scene.made.wait_until(what=lambda: ordered() > count, limit=limit)
+    def wait_for_order(limit: timedelta = 20 * SECOND) -> None:
+        count = order_count()
+        assert harness.sim.wait_until(what=lambda: order_count() > count, limit=limit)
 
-    next_order()
-    head = scene.head()
-    pairs = scene.cut(names=[head], others=[*(name for name in cores if name != head), "edge-0", "edge-1"])
-    next_order()
-    scene.mend(pairs=pairs)
-    scene.sleep(6 * SECOND)
+    wait_for_order()
+    head = harness.head_name()
+    pairs = harness.cut_links(names=[head], others=[*(name for name in cores if name != head), "edge-0", "edge-1"])
+    wait_for_order()
+    harness.restore_links(pairs=pairs)
+    harness.sleep(6 * SECOND)
     call = HttpClientConnection.call
-    stopped: list[str] = []
+    paused: list[str] = []
 
-    def stopping(self: HttpClientConnection, *, method: str, path: str, **words: Any) -> Any:
-        if path == "/order" and not stopped:
-            stopped.append(self.runtime_host.name)
+    def pausing(self: HttpClientConnection, *, method: str, path: str, **kwargs: Any) -> Any:
+        if path == "/order" and not paused:
+            paused.append(self.runtime_host.name)
             self.runtime_host.stop(at=1, lasts=ms(3300))
-        return call(self, method=method, path=path, **words)
+        return call(self, method=method, path=path, **kwargs)
 
-    HttpClientConnection.call = stopping
+    HttpClientConnection.call = pausing
     try:
-        assert scene.made.wait_until(what=lambda: bool(stopped), limit=20 * SECOND)
-        # It must not come back in before its successor has commanded.
-        scene.cut(names=stopped, others=[name for name in cores if name not in stopped])
-        scene.sleep(12 * SECOND)
+        assert harness.sim.wait_until(what=lambda: bool(paused), limit=20 * SECOND)
+        # It must not rejoin before its successor has sent an order.
+        harness.cut_links(names=paused, others=[name for name in cores if name not in paused])
+        harness.sleep(12 * SECOND)
     finally:
         HttpClientConnection.call = call
-    by = {row.fields["by"] for row in scene.rows(what="order")}
-    return stopped * (len(by) > 1)
+    senders = {event.fields["by"] for event in harness.engine_events(what="order")}
+    return paused * (len(senders) > 1)
 
 
-def returns(scene: Scene) -> list[Any]:
-    """12. Everything is restarted at once, under load; the wall clocks of the cores are days behind by then, and the
-    tail of the chain comes last, so that the source begins before it hears what has been acknowledged."""
-    task = scene.load(lasts=24 * SECOND)
-    scene.perSecond = scene.made.plan.perSecond
-    scene.sleep(3 * SECOND)
-    cores = [core["name"] for core in scene.made.plan.cores]
+def returns(harness: FleetHarness) -> list[Any]:
+    """12. Everything is restarted at once under load, with the wall clocks of the cores three days behind. The tail of
+    the chain starts last, so that the clock source starts before it learns what was acknowledged."""
+    task = harness.start_load(duration=24 * SECOND)
+    harness.requests_per_second = harness.sim.plan.perSecond
+    harness.sleep(3 * SECOND)
+    cores = [core["name"] for core in harness.sim.plan.cores]
     for name in cores:
-        scene.made.hosts[name].machine.wall_offset -= timedelta(days=3)
-    tail = next(name for name in cores if scene.made.daemons[name].agreement.is_tail())
-    ends = eventlet.spawn(scene.doer._kill_for, names=[tail], lasts=3 * SECOND)
-    scene.doer._kill_for(names=[name for name in [*cores, "edge-0", "edge-1"] if name != tail], lasts=SECOND)
-    ends.wait()
-    scene.healed = scene.made.world.now()
-    scene.sleep(19 * SECOND)
-    ended = scene.truth()
+        harness.sim.hosts[name].machine.wall_offset -= timedelta(days=3)
+    tail = next(name for name in cores if harness.sim.daemons[name].agreement.is_tail())
+    tail_restart = eventlet.spawn(harness.fault_injector._kill_for, names=[tail], lasts=3 * SECOND)
+    harness.fault_injector._kill_for(
+        names=[name for name in [*cores, "edge-0", "edge-1"] if name != tail], lasts=SECOND
+    )
+    tail_restart.wait()
+    harness.repaired_at = harness.sim.world.now()
+    harness.sleep(19 * SECOND)
+    truth_at_end = harness.ground_truth()
     task.wait()
-    scene.truth = lambda: dataclasses.replace(ended, seen=scene.open_loop.seen)
-    return [seen for seen in scene.open_loop.seen if seen.kind == "unreachable"]
+    harness.ground_truth = lambda: dataclasses.replace(truth_at_end, attempts=harness.open_loop.seen)
+    return [attempt for attempt in harness.open_loop.seen if attempt.kind == "unreachable"]
 
 
-# Defences, each taken away by replacing one thing.
+# Patches that remove the defences, one each.
 
 
-def _claims_itself(self: Table, *, record: RequestRecord) -> None:
+def _claim_without_chain(self: Table, *, record: RequestRecord) -> None:
+    """Marks the request as claimed without asking the chain."""
     record.claimed, record.step = True, Step.READ
     self.stir.notify_all()
 
 
-def _ends_as_told(self: RequestRecord, *, outcome: Outcome, at: timedelta) -> None:
+def _end_with_given_outcome(self: RequestRecord, *, outcome: Outcome, at: timedelta) -> None:
+    """Ends a request with a refusal even if a call of it was sent."""
     self.outcome, self.step, self.ended_at = outcome, Step.ENDED, at
     self.news.notify_all()
 
@@ -470,9 +498,10 @@
 _relay = Legs._relay
 
 
-def _takes_a_cut_for_the_end(self: Legs, **words: Any) -> None:
+def _treat_cut_as_end(self: Legs, **kwargs: Any) -> None:
+    """Takes an engine's stream that breaks off for the end of the answer."""
     try:
-        _relay(self, **words)
+        _relay(self, **kwargs)
     except Exception:
         return
 
@@ -480,34 +509,38 @@
 _plan = ChainReplica._plan
 
 
-def _counts_by_the_clock(self: ChainReplica) -> Any:
+def _time_claims_by_clock(self: ChainReplica) -> Any:
+    """Dates claims by the cluster clock, which may jump, instead of time that the chain itself keeps."""
     planned = _plan(self)
     self.planned_fromUs = instant_us(self.gossip.clock.now())
     return planned
 
 
-def _goes_on_anyway(
+def _always_retry(
     self: Table, *, record: RequestRecord, engine: str, reading: bool, kind: OutcomeKind, why: str
 ) -> None:
+    """Runs a call again after a failure, whatever the lane allows."""
     record.tried.add(engine)
     self._again(record=record, step=Step.WRITE if record.memory and not reading else Step.READ)
 
 
-def _counts_no_pieces(self: Legs, *, record: RequestRecord, response: Any, start: int) -> None:
+def _relay_without_piece_numbers(self: Legs, *, record: RequestRecord, response: Any, start: int) -> None:
+    """Relays pieces without comparing their numbers with the next one expected."""
     for line in response:
-        told = json.loads(line)
-        if "end" in told:
+        body = json.loads(line)
+        if "end" in body:
             response.read()
             return
-        if "text" in told:
-            record.add(text=told["text"], stampUs=0)
+        if "text" in body:
+            record.add(text=body["text"], stampUs=0)
     raise Broken("cut")
 
 
 _learn = Follower._learn
 
 
-def _ignores_the_list(self: Follower, *, news: dict[str, Any], heldMs: int) -> None:
+def _ignore_leaving_in_engine_list(self: Follower, *, news: dict[str, Any], heldMs: int) -> None:
+    """Drops `leaving` from the engine list."""
     for engine in news.get("engines", []):
         engine.pop("leaving", None)
     _learn(self, news=news, heldMs=heldMs)
@@ -516,14 +549,16 @@
 _update_usage = UsageTable.update
 
 
-def _ignores_the_engine(self: UsageTable, *, usage: Any) -> bool:
+def _ignore_leaving_in_usage(self: UsageTable, *, usage: Any) -> bool:
+    """Drops `leaving` from what the engine itself reports."""
     return _update_usage(self, usage=dataclasses.replace(usage, leaving=False))
 
 
 _extend = ChainReplica._extend
 
 
-def _acknowledges_one_copy(self: ChainReplica) -> None:
+def _acknowledge_before_replication(self: ChainReplica) -> None:
+    """Acknowledges a change while only the head has it."""
     _extend(self)
     for write in self.waiting:
         write.done.send(Outcome(kind=OutcomeKind.ANSWERED, detail={"mark": write.mark}))
@@ -533,7 +568,8 @@
 _append = RecordLog.append
 
 
-def _syncs_nothing(self: RecordLog, *, records: list[dict[str, Any]]) -> None:
+def _skip_chain_appends(self: RecordLog, *, records: list[dict[str, Any]]) -> None:
+    """Doesn't write the chain file."""
     if self.name != "chain":
         _append(self, records=records)
 
@@ -541,11 +577,13 @@
 _become_source = Clock.become_source
 
 
-def _begins_with_the_wall_clock(self: Clock, *, mark: int, not_before: datetime) -> None:
+def _start_from_wall_clock(self: Clock, *, mark: int, not_before: datetime) -> None:
+    """Starts the cluster clock from the wall clock, even if that is before a time on record."""
     _become_source(self, mark=mark, not_before=EPOCH)
 
 
-def _is_sure(self: RecordLog, *, records: list[dict[str, Any]]) -> None:
+def _treat_unknown_append_as_failed(self: RecordLog, *, records: list[dict[str, Any]]) -> None:
+    """Reports an append of unknown outcome as a plain failure."""
     try:
         _append(self, records=records)
     except AppendOutcomeUnknown as error:
@@ -554,32 +592,37 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Rule:
-    """One rule's run. Invariants: `check` is the checker that fails without a defence; each defence is a list of what
-    is replaced, once the fleet serves or, if `early`, before; `stirs` is replaced in every run to bring the danger
-    about."""
+    """One rule and the scenario that tests it.
+
+    Invariants:
+    - `check` is the name of the check that fails without a defence.
+    - `defences` maps a defence to the (owner, attribute, replacement) patches that remove it. They are applied once the
+      fleet serves, or before it starts if `patch_before_start`.
+    - `setup_patches` are applied in every run, to provoke the hazard.
+    """
 
     number: int
     check: str
-    act: Callable[[Scene], list[Any]]
+    scenario: Callable[[FleetHarness], list[Any]]
     defences: dict[str, list[tuple[Any, str, Any]]]
     settings: dict[str, int] = dataclasses.field(default_factory=dict)
-    stirs: list[tuple[Any, str, Any]] = dataclasses.field(default_factory=list)
+    setup_patches: list[tuple[Any, str, Any]] = dataclasses.field(default_factory=list)
     seed: int = 1
-    early: bool = False
+    patch_before_start: bool = False
 
 
-def _begins_anew(self: Any, **words: Any) -> Any:
-    """A stand-in that does not heed from which piece it is to go on."""
-    return _write(self, **(words | {"fields": {**words["fields"], "from": 0}}))
+def _decode_from_first_piece(self: Any, **kwargs: Any) -> Any:
+    """Ignores the piece from which the engine should resume."""
+    return _write(self, **(kwargs | {"fields": {**kwargs["fields"], "from": 0}}))
 
 
 _write = Engine._write
 
 RULES = [
     Rule(
-        number=1, check="once_runs_once", act=once,
+        number=1, check="once_runs_once", scenario=once,
         defences={
-            "the claim": [(Table, "_claim", _claims_itself)],
+            "the claim": [(Table, "_claim", _claim_without_chain)],
             "one send a leg": [
                 (RequestRecord, "once", property(lambda self: not self.claimed and self.values["run"] == "once"))
             ],
@@ -588,51 +631,52 @@
     Rule(
         number=1,
         check="once_runs_once",
-        act=once_for_a_day,
-        defences={"the claims' time is no clock's": [(ChainReplica, "_plan", _counts_by_the_clock)]},
-        early=True,
+        scenario=once_for_a_day,
+        defences={"the claims' time is no clock's": [(ChainReplica, "_plan", _time_claims_by_clock)]},
+        patch_before_start=True,
     ),
     Rule(
-        number=2, check="refused_never_runs", act=refused,
+        number=2, check="refused_never_runs", scenario=refused,
         defences={
             "no refusal to what may have run": [
                 (record_module, "not_refused", lambda *, outcome: outcome),
                 (edge_module, "not_refused", lambda *, outcome: outcome),
             ],
-            "no refusal to what was sent": [(RequestRecord, "end", _ends_as_told)],
+            "no refusal to what was sent": [(RequestRecord, "end", _end_with_given_outcome)],
         },
     ),
     Rule(
-        number=3, check="answers_are_own_and_whole", act=whole,
+        number=3, check="answers_are_own_and_whole", scenario=whole,
         defences={
-            "the answer's end": [(Legs, "_relay", _takes_a_cut_for_the_end)],
-            "no other run goes on": [(Table, "_recover", _goes_on_anyway)],
+            "the answer's end": [(Legs, "_relay", _treat_cut_as_end)],
+            "no other run goes on": [(Table, "_recover", _always_retry)],
             "one body an identity": [(RequestRecord, "body_digest", "")],
         },
     ),
     Rule(
-        number=4, check="pieces_in_order", act=in_order, stirs=[(Engine, "_write", _begins_anew)],
-        defences={"pieces are counted": [(Legs, "_relay", _counts_no_pieces)]},
+        number=4, check="pieces_in_order", scenario=in_order,
+        setup_patches=[(Engine, "_write", _decode_from_first_piece)],
+        defences={"pieces are counted": [(Legs, "_relay", _relay_without_piece_numbers)]},
     ),
     Rule(
-        number=5, check="memory_is_own", act=memory,
+        number=5, check="memory_is_own", scenario=memory,
         defences={
             "the memory's tag": [(Legs, "_wanted", lambda self, **_: {}), (legs_module, "WANTED", ())],
         },
     ),
     Rule(
-        number=6, check="services_are_allowed", act=service,
+        number=6, check="services_are_allowed", scenario=service,
         defences={"who is there is asked first": [(EngineConnectionPool, "_matches", lambda self, **_: True)]},
     ),
     Rule(
-        number=7, check="leaving_gets_nothing", act=leaving,
+        number=7, check="leaving_gets_nothing", scenario=leaving,
         defences={
-            "the engine's own word": [(UsageTable, "update", _ignores_the_engine)],
-            "the list's word": [(Follower, "_learn", _ignores_the_list)],
+            "the engine's own word": [(UsageTable, "update", _ignore_leaving_in_usage)],
+            "the list's word": [(Follower, "_learn", _ignore_leaving_in_engine_list)],
         },
     ),
     Rule(
-        number=8, check="configurations_are_honoured", act=honoured,
+        number=8, check="configurations_are_honoured", scenario=honoured,
         defences={
             "permission": [
                 (Follower, "permitted", lambda self: True),
@@ -647,66 +691,68 @@
         },
     ),
     Rule(
-        number=9, check="configurations_are_kept", act=kept,
+        number=9, check="configurations_are_kept", scenario=kept,
         defences={
-            "two copies": [(ChainReplica, "_extend", _acknowledges_one_copy)],
-            "the sync": [(RecordLog, "append", _syncs_nothing)],
+            "two copies": [(ChainReplica, "_extend", _acknowledge_before_replication)],
+            "the sync": [(RecordLog, "append", _skip_chain_appends)],
         },
     ),
     Rule(
         number=9,
         check="configurations_are_kept",
-        act=unsynced,
-        defences={"a refusal once it is cut off": [(RecordLog, "append", _is_sure)]},
+        scenario=unsynced,
+        defences={"a refusal once it is cut off": [(RecordLog, "append", _treat_unknown_append_as_failed)]},
         seed=2,
     ),
     Rule(
-        number=10, check="extra_sends_are_few", act=extra,
+        number=10, check="extra_sends_are_few", scenario=extra,
         defences={"the budget": [(Budget, "allows", lambda self, **_: True)]},
     ),
     Rule(
-        number=11, check="one_commands_at_a_time", act=commanded, settings={"permitMs": 300, "suspectMs": 300},
-        stirs=[(scheduler, "choose", _always_move), (scheduler, "SETTLE", timedelta())],
+        number=11, check="one_commands_at_a_time", scenario=commanded, settings={"permitMs": 300, "suspectMs": 300},
+        setup_patches=[(scheduler, "choose", _always_move), (scheduler, "SETTLE", timedelta())],
         defences={
             "the hush": [(scheduler, "HUSH", timedelta())],
             "the permit's end at the engine": [(scheduler, "to_us", lambda span: 3_600_000_000)],
         },
     ),
     Rule(
-        number=12, check="service_returns", act=returns,
+        number=12, check="service_returns", scenario=returns,
         defences={
             "the join rate": [(GossipEndpoint, "_exchange_interval", lambda self: self.exchange_rate.interval)],
-            "no time before what is on record": [(Clock, "become_source", _begins_with_the_wall_clock)],
+            "no time before what is on record": [(Clock, "become_source", _start_from_wall_clock)],
         },
     ),
 ]  # fmt: skip
 
 
-def bring_about(*, rule: Rule, without: str = "") -> tuple[list[Any], dict[str, list[str]]]:
-    """The danger that arose and what the checkers found, with one defence taken away or none."""
-    replaced = [*rule.stirs, *(rule.defences[without] if without else [])]
-    with pytest.MonkeyPatch.context() as patch, fleet(plan=small(**rule.settings), seed=rule.seed) as made:
-        if not rule.early:
-            made.begin()
-        for owner, name, value in replaced:
+def run_rule(*, rule: Rule, without: str = "") -> tuple[list[Any], dict[str, list[str]]]:
+    """Runs a rule's scenario, with one defence removed or none; returns the hazard's evidence and the violations."""
+    patches = [*rule.setup_patches, *(rule.defences[without] if without else [])]
+    with pytest.MonkeyPatch.context() as patch, fleet(plan=small_plan(**rule.settings), seed=rule.seed) as sim:
+        if not rule.patch_before_start:
+            sim.begin()
+        for owner, name, value in patches:
             patch.setattr(owner, name, value)
-        if rule.early:
-            made.begin()
-        scene = Scene(made=made)
-        danger = rule.act(scene)
-        return danger, checks.run_checks(truth=scene.truth())
+        if rule.patch_before_start:
+            sim.begin()
+        harness = FleetHarness(sim=sim)
+        evidence = rule.scenario(harness)
+        return evidence, checks.run_checks(truth=harness.ground_truth())
 
 
-@pytest.mark.parametrize("rule", RULES, ids=lambda rule: rule.act.__name__)
-def test_the_danger_arises_and_the_rule_holds(rule):
-    danger, wrong = bring_about(rule=rule)
-    assert danger and wrong == {}
+@pytest.mark.parametrize("rule", RULES, ids=lambda rule: rule.scenario.__name__)
+def test_the_hazard_occurs_and_the_rule_holds(rule):
+    evidence, violations = run_rule(rule=rule)
+    assert evidence and violations == {}
 
 
-TAKEN = [(rule, name) for rule in RULES for name in rule.defences]
+REMOVED_DEFENCES = [(rule, name) for rule in RULES for name in rule.defences]
 
 
-@pytest.mark.parametrize(("rule", "without"), TAKEN, ids=[f"{rule.act.__name__}, {name}" for rule, name in TAKEN])
-def test_without_a_defence_the_rule_is_broken(rule, without):
-    danger, wrong = bring_about(rule=rule, without=without)
-    assert danger and rule.check in wrong
+@pytest.mark.parametrize(
+    ("rule", "without"), REMOVED_DEFENCES, ids=[f"{rule.scenario.__name__}, {name}" for rule, name in REMOVED_DEFENCES]
+)
+def test_the_rule_is_broken_without_a_defence(rule, without):
+    evidence, violations = run_rule(rule=rule, without=without)
+    assert evidence and rule.check in violations
