--- a/dockmux/cli/program.py
+++ b/dockmux/cli/program.py
@@ -244,10 +244,10 @@
 
 
 def test_operators_commands_against_a_fleet(snapshot, tmp_path):
-    from dockmux.simulator.exchanges import serving
+    from dockmux.simulator.exchanges import serving_fleet
 
     told = []
-    with serving() as made:
+    with serving_fleet() as made:
         cores = Cores(host=made.outside, addresses=[core["http"] for core in made.plan.cores])
         cores.addresses.insert(0, "127.0.40.10:7999")  # Nobody listens there: the next core is asked.
         tree = tmp_path / "tree.json"
