--- a/dockmux/simulator/day.py
+++ b/dockmux/simulator/day.py
@@ -16,7 +16,7 @@
 from dockmux.simulator.clock_probe import ClockProbe
 from dockmux.simulator.faults import FINAL_FAULT_KINDS, Fault, FaultInjector, draw_schedule, model_variants
 from dockmux.simulator.fleet import SimFleet, fleet
-from dockmux.simulator.ground_truth import ConfigChange, GroundTruth, rows_of
+from dockmux.simulator.ground_truth import ConfigChange, GroundTruth, collect_engine_events
 
 SECOND = timedelta(seconds=1)
 # Load without faults before the first fault and after the last one.
@@ -97,25 +97,28 @@
             open_loop.again(lane_runs="once", most=12, since=timedelta())
         kept_configs = _kept_configs(sim=sim)
         truth = GroundTruth(
-            seen=open_loop.seen,
-            rows=rows_of(engines=sim.engines),
-            told=injector.config_changes,
-            leaving=injector.leave_notices,
-            sites={edge["name"]: edge["site"] for edge in plan.edges},
-            perSecond=plan.perSecond,
-            healed=repaired_at,
-            lasted=min(load_ended_at, started_at + WARM_UP + duration + RECOVERY_PERIOD),
-            kept=kept_configs,
-            still=injector.frozen_edges,
+            attempts=open_loop.seen,
+            engine_events=collect_engine_events(engines=sim.engines),
+            config_changes=injector.config_changes,
+            leave_notices=injector.leave_notices,
+            site_by_edge={edge["name"]: edge["site"] for edge in plan.edges},
+            requests_per_second=plan.perSecond,
+            repaired_at=repaired_at,
+            ended_at=min(load_ended_at, started_at + WARM_UP + duration + RECOVERY_PERIOD),
+            kept_configs=kept_configs,
+            frozen_edges=injector.frozen_edges,
         )
         extra_shares = [
             max(
-                (checks.worst_share(rows=rows) for rows in checks.sends(truth=truth, repeats=repeats).values()),
+                (
+                    checks.max_extra_share(sends=sends)
+                    for sends in checks.sends_by_service(truth=truth, repeats=repeats).values()
+                ),
                 default=0,
             )
             for repeats in (False, True)
         ]
-        violations = checks.check(truth=truth)
+        violations = checks.run_checks(truth=truth)
         if probe.violations:
             violations["clocks_keep_their_bounds"] = probe.violations
         failed = [
@@ -134,7 +137,7 @@
         violations=violations,
         outcomes=dict(sorted(outcomes.items())),
         sent=len(open_loop.seen),
-        recovery_ms=checks.recovery(truth=truth) // ms(1),
+        recovery_ms=checks.recovery_time(truth=truth) // ms(1),
         final_fault=final_fault,
         extra_percent=round(extra_shares[0] * 100, 1),
         extra_percent_with_repeats=round(extra_shares[1] * 100, 1),
