--- a/tests/control_model/control_model_test.py
+++ b/tests/control_model/control_model_test.py
@@ -1,17 +1,19 @@
-"""Control planes of three and of five members, each under schedules of calls and faults that hypothesis draws: always
-the same ones. `python -m tests.control_model` draws others."""
+"""Control planes of three and five members under a fixed set of drawn schedules of calls and faults.
+
+`python -m tests.control_model --seed S` draws other schedules.
+"""
 
 import pytest
 
 from tests.control_model.history import CHECKS
-from tests.control_model.search import Search
+from tests.control_model.schedule_search import ScheduleSearch
 
 EXAMPLES = {3: 80, 5: 35}
 SEARCH_SEED = 1
 
 
 @pytest.mark.parametrize("members", sorted(EXAMPLES))
-def test_a_control_plane_keeps_its_promises_under_drawn_schedules(members: int) -> None:
-    search = Search(members=members, examples=EXAMPLES[members], search_seed=SEARCH_SEED, checks=CHECKS)
-    assert search.run() is None, search.last
-    assert search.played >= EXAMPLES[members]
+def test_invariants_hold_under_drawn_schedules(members: int) -> None:
+    search = ScheduleSearch(members=members, examples=EXAMPLES[members], search_seed=SEARCH_SEED, checks=CHECKS)
+    assert search.run() is None, search.last_failure
+    assert search.runs >= EXAMPLES[members]
--- a/tests/control_model/history.py
+++ b/tests/control_model/history.py
@@ -1,4 +1,7 @@
-"""What operators saw and what daemons held during a run, and the checks of it."""
+"""Record of a model run (operator calls and sampled daemon state) and the invariant checks on it.
+
+All times are true time of the simulation, as offsets from its start.
+"""
 
 import dataclasses
 from collections.abc import Callable, Iterable
@@ -7,15 +10,15 @@
 from dockmux.runtime.config import CONFIGS_KEPT
 from dockmux.runtime.time_units import ms
 
-# Daemons are looked at so often; what one look shows may be so much older.
-SAMPLE_WAIT = ms(20)
+# Period of the state sampler; a sampled state may have become true up to one period earlier.
+SAMPLE_INTERVAL = ms(20)
 REFUSALS = (400, 409, 412, 422)
 OUTDATED = 412
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Change:
-    """One configuration as an operator sends it. Invariant: two of one version differ in `text`."""
+    """One configuration as an operator sends it. Invariant: two changes with the same version differ in `text`."""
 
     version: int
     base: int
@@ -24,7 +27,10 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Put:
-    """One try to put a change. Invariant: `status` is 0 while no answer came."""
+    """One attempt to put a change to the control machine with index `control`.
+
+    Invariant: `status` is the HTTP status, or 0 while no response has arrived.
+    """
 
     change: Change
     control: int
@@ -35,8 +41,11 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Read:
-    """One try to read the configuration. Invariants: `status` is 0 while no answer came; `change` is what it showed
-    and None unless the status is 200."""
+    """One attempt to read the configuration from the control machine with index `control`.
+
+    Invariants: `status` is the HTTP status, or 0 while no response has arrived; `change` is the configuration in the
+    response and None unless the status is 200.
+    """
 
     control: int
     sent_at: timedelta
@@ -46,8 +55,8 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class SeenView:
-    """A view as one disk, or the daemon on it, held it."""
+class ObservedView:
+    """A view as stored by one disk or known to the daemon on it. `chain` and `voters` hold disk ids."""
 
     disk: str
     number: int
@@ -56,8 +65,8 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Acting:
-    """A member that may act as head or as tail at a moment of true time."""
+class ActingMember:
+    """A member that may act as head or as tail (`role`) of view `number` at a moment of true time."""
 
     at: timedelta
     disk: str
@@ -67,28 +76,32 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class MemberLog:
-    """A member's synced entries at a moment. Invariants: `entries` follow `base_mark` without a gap; `place` counts
-    from the head of view `number`."""
+    """A member's synced log entries at a moment.
+
+    Invariants: `entries` follow `base_mark` without a gap; `chain_position` counts from the head (0) of view `number`.
+    """
 
     at: timedelta
     disk: str
     number: int
-    place: int
+    chain_position: int
     base_mark: int
     entries: tuple[Change, ...]
 
     def entry(self, *, mark: int) -> Change | None:
-        place = mark - self.base_mark - 1
-        return self.entries[place] if 0 <= place < len(self.entries) else None
+        """The entry at a log mark, or None if the log does not contain it."""
+        offset = mark - self.base_mark - 1
+        return self.entries[offset] if 0 <= offset < len(self.entries) else None
 
     @property
     def synced(self) -> int:
+        """The mark of the last synced entry."""
         return self.base_mark + len(self.entries)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Learned:
-    """A change that a daemon first held for acknowledged at a moment, at a mark of the log."""
+class AcknowledgedEntry:
+    """A change at a log mark, and when one daemon was first seen to treat it as acknowledged."""
 
     at: timedelta
     disk: str
@@ -98,131 +111,146 @@
 
 @dataclasses.dataclass(kw_only=True)
 class History:
-    """All of one run. Invariants: `final` holds what the head, or whoever was to be it, had acknowledged after all was
-    healed, oldest first; `recovered` says whether a change was taken then, and every machine a member again."""
+    """Everything recorded during one run.
+
+    Invariants: `final` holds the acknowledged configurations of the head, or of the daemon that would become it, after
+    all faults were healed, oldest first; `recovered` says whether a change was accepted then and every
+    machine was a member of the chain again.
+    """
 
     puts: list[Put] = dataclasses.field(default_factory=list)
     reads: list[Read] = dataclasses.field(default_factory=list)
-    views: set[SeenView] = dataclasses.field(default_factory=set)
-    acting: list[Acting] = dataclasses.field(default_factory=list)
+    views: set[ObservedView] = dataclasses.field(default_factory=set)
+    acting_members: list[ActingMember] = dataclasses.field(default_factory=list)
     logs: list[MemberLog] = dataclasses.field(default_factory=list)
-    learned: list[Learned] = dataclasses.field(default_factory=list)
+    acknowledged_entries: list[AcknowledgedEntry] = dataclasses.field(default_factory=list)
     final: list[Change] = dataclasses.field(default_factory=list)
     recovered: bool = False
     failures: list[str] = dataclasses.field(default_factory=list)
 
-    def acknowledged(self) -> list[Put]:
+    def acknowledged_puts(self) -> list[Put]:
+        """The puts answered with status 200, by time of the response."""
         return sorted((put for put in self.puts if put.status == 200), key=lambda put: put.ended_at)
 
-    def shown(self) -> list[Read]:
+    def successful_reads(self) -> list[Read]:
+        """The reads that returned a configuration, by time of the response."""
         return sorted((read for read in self.reads if read.change is not None), key=lambda read: read.ended_at)
 
 
 def one_view_per_number(history: History) -> list[str]:
-    """No two different views have one number."""
-    by_number: dict[int, SeenView] = {}
-    told = []
+    """No two different views share a number."""
+    by_number: dict[int, ObservedView] = {}
+    violations = []
     for view in sorted(history.views, key=lambda view: (view.number, view.disk)):
         other = by_number.setdefault(view.number, view)
         if (other.chain, other.voters) != (view.chain, view.voters):
-            told.append(f"view {view.number}: {other.disk} has {other.chain}, {view.disk} has {view.chain}")
-    return told
+            violations.append(f"view {view.number}: {other.disk} has {other.chain}, {view.disk} has {view.chain}")
+    return violations
 
 
 def one_acting_at_a_time(history: History) -> list[str]:
-    """No two members may act as head, or as tail, at one moment of true time."""
-    told = []
-    acting: dict[tuple[timedelta, str], Acting] = {}
-    for row in history.acting:
+    """No two members may act as head, or as tail, at the same moment of true time."""
+    violations = []
+    acting: dict[tuple[timedelta, str], ActingMember] = {}
+    for row in history.acting_members:
         other = acting.setdefault((row.at, row.role), row)
         if other.disk != row.disk:
-            told.append(f"{row.at}: {other.disk} (view {other.number}) and {row.disk} (view {row.number}): {row.role}")
-    return told
+            violations.append(
+                f"{row.at}: {other.disk} (view {other.number}) and {row.disk} (view {row.number}): {row.role}"
+            )
+    return violations
 
 
 def logs_are_prefixes(history: History) -> list[str]:
-    """At one moment each member's log is a prefix of its predecessor's in the same view, and no two members differ
-    in an entry that both have."""
-    told = []
-    together: dict[tuple[timedelta, int], list[MemberLog]] = {}
+    """At any moment each member's log is a prefix of its predecessor's in the same view, and neighbours in the chain
+    agree on every entry that both have."""
+    violations = []
+    logs_by_view: dict[tuple[timedelta, int], list[MemberLog]] = {}
     for log in history.logs:
-        together.setdefault((log.at, log.number), []).append(log)
-    for (at, number), logs in together.items():
-        logs.sort(key=lambda log: log.place)
+        logs_by_view.setdefault((log.at, log.number), []).append(log)
+    for (at, number), logs in logs_by_view.items():
+        logs.sort(key=lambda log: log.chain_position)
         for before, after in zip(logs, logs[1:], strict=False):
             where = f"{at}: view {number}, {before.disk} then {after.disk}"
             if after.synced > before.synced:
-                told.append(f"{where}: {before.synced} entries, then {after.synced}")
+                violations.append(f"{where}: {before.synced} entries, then {after.synced}")
             for mark in range(max(before.base_mark, after.base_mark) + 1, min(before.synced, after.synced) + 1):
                 if before.entry(mark=mark) != after.entry(mark=mark):
-                    told.append(f"{where}: entry {mark} is {before.entry(mark=mark)}, then {after.entry(mark=mark)}")
-    return told
+                    violations.append(
+                        f"{where}: entry {mark} is {before.entry(mark=mark)}, then {after.entry(mark=mark)}"
+                    )
+    return violations
 
 
 def one_change_per_mark(history: History) -> list[str]:
-    """What one daemon holds for acknowledged at a mark of the log, every other holds there, for ever."""
-    told = []
-    by_mark: dict[int, Learned] = {}
-    for row in history.learned:
+    """Once one daemon treats a change as acknowledged at a log mark, no daemon ever has a different one there."""
+    violations = []
+    by_mark: dict[int, AcknowledgedEntry] = {}
+    for row in history.acknowledged_entries:
         other = by_mark.setdefault(row.mark, row)
         if other.change != row.change:
-            told.append(f"mark {row.mark}: {other.disk} has {other.change}, {row.disk} has {row.change}")
-    return told
+            violations.append(f"mark {row.mark}: {other.disk} has {other.change}, {row.disk} has {row.change}")
+    return violations
 
 
 def recovered(history: History) -> list[str]:
-    """After everything was healed the control plane takes a change again, and has all its members."""
+    """After all faults are healed the control plane accepts a change again and has all its members."""
     return [] if history.recovered else ["not recovered"]
 
 
 def acknowledged_survive(history: History) -> list[str]:
-    """What was acknowledged, or shown to a reader, is in the log at the end, unless so many came after it."""
+    """Every change acknowledged or returned to a reader is in the final log, unless newer ones displaced it from the
+    retained configurations (CONFIGS_KEPT)."""
     kept = set(history.final)
     oldest = history.final[0].version if len(history.final) == CONFIGS_KEPT else 0
-    given = [put.change for put in history.acknowledged()]
-    given += [read.change for read in history.shown()]
-    return [f"lost: {change}" for change in dict.fromkeys(given) if change not in kept and change.version >= oldest]
+    observed = [put.change for put in history.acknowledged_puts()]
+    observed += [read.change for read in history.successful_reads()]
+    return [f"lost: {change}" for change in dict.fromkeys(observed) if change not in kept and change.version >= oldest]
 
 
 def acknowledged_build_on_each_other(history: History) -> list[str]:
-    """The final log is a chain of bases, and the acknowledged changes lie on one path of bases: one winner for each."""
-    told = []
+    """Each configuration in the final log is based on the previous one, and the acknowledged changes lie on one path
+    of bases: at most one acknowledged change for each base."""
+    violations = []
     final = history.final
     for before, after in zip(final, final[1:], strict=False):
         if after.base != before.version or after.version <= before.version:
-            told.append(f"in the log {after} follows {before}")
+            violations.append(f"in the final log {after} follows {before}")
     winners: dict[int, Change] = {}
-    for put in history.acknowledged():
+    for put in history.acknowledged_puts():
         other = winners.setdefault(put.change.base, put.change)
         if other != put.change:
-            told.append(f"two winners on {other.base}: {other} and {put.change}")
+            violations.append(f"two acknowledged changes on base {other.base}: {other} and {put.change}")
     bases: dict[int, set[int]] = {}
     for put in history.puts:
         bases.setdefault(put.change.version, set()).add(put.change.base)
     ordered = sorted(winners.values(), key=lambda change: change.version)
     for before, after in zip(ordered, ordered[1:], strict=False):
         if not _builds_on(after=after, version=before.version, bases=bases):
-            told.append(f"{after} does not build on {before}, which was acknowledged")
-    return told
+            violations.append(f"{after} does not build on {before}, which was acknowledged")
+    return violations
 
 
 def _builds_on(*, after: Change, version: int, bases: dict[int, set[int]]) -> bool:
-    front = {after.base}
-    while front and version not in front:
-        front = {base for found in front for base in bases.get(found, ()) if base < found and base >= version}
-    return version in front
+    """Whether `after` reaches `version` by following `bases` (version to the bases it was sent with)."""
+    reachable = {after.base}
+    while reachable and version not in reachable:
+        reachable = {
+            base for reached in reachable for base in bases.get(reached, ()) if base < reached and base >= version
+        }
+    return version in reachable
 
 
 def _first_acknowledged(*, history: History) -> dict[Change, timedelta]:
-    """When each change was first known, outside, to be acknowledged."""
+    """When an operator first received the acknowledgement of each change."""
     first: dict[Change, timedelta] = {}
-    for put in history.acknowledged():
+    for put in history.acknowledged_puts():
         first.setdefault(put.change, put.ended_at)
     return first
 
 
 def _newer_sent_before(*, history: History, change: Change, moment: timedelta) -> bool:
-    """Whether anything newer may have been acknowledged by a moment."""
+    """Whether a newer change may have been acknowledged by `moment`."""
     return any(
         put.change.version > change.version and put.sent_at <= moment and put.status not in REFUSALS
         for put in history.puts
@@ -231,69 +259,75 @@
 
 def _refused_again(*, history: History, newer: bool) -> list[str]:
     first = _first_acknowledged(history=history)
-    told = []
+    violations = []
     for put in history.puts:
-        known = first.get(put.change)
-        if put.status not in REFUSALS or known is None or put.sent_at < known:
+        acknowledged_at = first.get(put.change)
+        if put.status not in REFUSALS or acknowledged_at is None or put.sent_at < acknowledged_at:
             continue
         if newer == _newer_sent_before(history=history, change=put.change, moment=put.ended_at):
-            told.append(f"{put.change} was acknowledged at {known}, refused with {put.status} at {put.ended_at}")
-    return told
+            violations.append(
+                f"{put.change} was acknowledged at {acknowledged_at}, refused with {put.status} at {put.ended_at}"
+            )
+    return violations
 
 
 def not_refused_when_sent_again(history: History) -> list[str]:
-    """A change that was acknowledged is not refused when it is sent again while nothing newer can have been taken."""
+    """An acknowledged change is not refused when it is resent while nothing newer can have been accepted."""
     return _refused_again(history=history, newer=False)
 
 
 def not_refused_when_sent_again_after_newer(history: History) -> list[str]:
-    """A change that was acknowledged is not refused when it is sent again after newer ones either."""
+    """An acknowledged change is not refused when it is resent after newer changes may have been accepted."""
     return _refused_again(history=history, newer=True)
 
 
 def refusals_are_right(history: History) -> list[str]:
-    """A put is refused as outdated only if, before the answer, a version other than its base was acknowledged as the
-    current one."""
-    latest = _first_acknowledged(history=history)
-    for row in history.learned:
-        latest[row.change] = min(row.at, latest.get(row.change, row.at))
-    told = []
+    """A put is refused as outdated only if a version other than its base was the acknowledged current one before the
+    response."""
+    acknowledged_at = _first_acknowledged(history=history)
+    for row in history.acknowledged_entries:
+        acknowledged_at[row.change] = min(row.at, acknowledged_at.get(row.change, row.at))
+    violations = []
     for put in history.puts:
         if put.status != OUTDATED:
             continue
-        # What one look showed may have been so for as long as the look before.
-        newer = [at for change, at in latest.items() if change.version > put.change.base]
-        based = [at for change, at in latest.items() if change.version == put.change.base]
+        # A sampled state may have become true up to one sample interval earlier.
+        newer = [at for change, at in acknowledged_at.items() if change.version > put.change.base]
+        based = [at for change, at in acknowledged_at.items() if change.version == put.change.base]
         current_all_along = put.change.base == 0 or any(at < put.sent_at for at in based)
-        if current_all_along and not any(at - SAMPLE_WAIT <= put.ended_at for at in newer):
-            told.append(f"{put.change} was refused at {put.ended_at}; nothing newer was acknowledged")
-    return told
+        if current_all_along and not any(at - SAMPLE_INTERVAL <= put.ended_at for at in newer):
+            violations.append(f"{put.change} was refused at {put.ended_at}; nothing newer was acknowledged")
+    return violations
 
 
 def reads_follow_puts(history: History) -> list[str]:
-    """A read that starts after an acknowledgement shows that change or a later one."""
-    told = []
-    acknowledged = history.acknowledged()
-    for read in history.shown():
+    """A read that starts after an acknowledgement returns that change or a newer one."""
+    violations = []
+    acknowledged = history.acknowledged_puts()
+    for read in history.successful_reads():
         before = [put.change.version for put in acknowledged if put.ended_at <= read.sent_at]
         if before and read.change.version < max(before):
-            told.append(f"read from {read.control} at {read.sent_at}: {read.change.version}, after {max(before)}")
-    return told
+            violations.append(
+                f"read from {read.control} at {read.sent_at}: {read.change.version}, after a put of {max(before)}"
+            )
+    return violations
 
 
 def reads_do_not_go_back(history: History) -> list[str]:
-    """A read that starts after another's end shows nothing older."""
-    told = []
-    shown = history.shown()
+    """A read that starts after another has ended returns nothing older."""
+    violations = []
+    shown = history.successful_reads()
     for read in shown:
         before = [other.change.version for other in shown if other.ended_at <= read.sent_at and other is not read]
         if before and read.change.version < max(before):
-            told.append(f"read from {read.control} at {read.sent_at}: {read.change.version}, after {max(before)} shown")
-    return told
+            violations.append(
+                f"read from {read.control} at {read.sent_at}: {read.change.version}, after a read of {max(before)}"
+            )
+    return violations
 
 
 def nothing_failed(history: History) -> list[str]:
-    """No task of a daemon ended with an error."""
+    """No task of a daemon failed with an error."""
     return list(history.failures)
 
 
@@ -315,6 +349,6 @@
 )
 
 
-def breaches(*, history: History, checks: Iterable[Check] = CHECKS) -> list[str]:
-    """Each breach with the name of the check that found it, a few of each check."""
+def find_violations(*, history: History, checks: Iterable[Check] = CHECKS) -> list[str]:
+    """Violations as "check name: text", at most three per check."""
     return [f"{check.__name__}: {text}" for check in checks for text in check(history)[:3]]
--- a/tests/control_model/machines.py
+++ b/tests/control_model/machines.py
@@ -1,4 +1,4 @@
-"""Control daemons alone, on simulated machines: neither data daemons nor engines."""
+"""Control daemons on simulated machines, without data daemons or engines."""
 
 from datetime import timedelta
 from typing import Any
@@ -11,50 +11,56 @@
 from dockmux.simulator.world import Disk, SimHost, World
 from tests.standins.fleet import ZONES, settings_lines
 
-SEEDS = 3
+SEED_COUNT = 3
 
 
 class Machines:
-    """The control machines. Invariants: `hosts` names the process that runs now, or ran last, under a name; `cores`
-    the daemon in it, once it runs; `addresses` where operators call each."""
+    """The control machines, addressed by index.
+
+    Invariants, for each machine name: `hosts` holds the process that is running or ran last; `cores` the daemon in
+    it once that is running; `settings_by_name` its settings lines, with the address that operators call under
+    `listen.ctl`. `client_host` is the host outside the control plane from which operators call.
+    """
 
     def __init__(self, *, world: World, members: int) -> None:
         self.world = world
-        self.names = [f"core-{place}" for place in range(members)]
+        self.names = [f"core-{index}" for index in range(members)]
         self.hosts: dict[str, SimHost] = {}
         self.cores: dict[str, Core] = {}
-        self.lines: dict[str, dict[str, str]] = {}
-        self.replaced = 0
+        self.settings_by_name: dict[str, dict[str, str]] = {}
+        self.replacements = 0
         world.machine(ip="10.99.0.1", site="outside", true_clock=True)
-        self.outside = SimHost(world=world, name="outside", machine=world.machine(ip="10.99.0.1", site="outside"))
-        for place, name in enumerate(self.names):
-            ip = f"10.{place + 1}.0.1"
-            self.lines[name] = settings_lines(name=name, zone=place % len(ZONES), machine="core") | {
+        self.client_host = SimHost(world=world, name="outside", machine=world.machine(ip="10.99.0.1", site="outside"))
+        for index, name in enumerate(self.names):
+            ip = f"10.{index + 1}.0.1"
+            self.settings_by_name[name] = settings_lines(name=name, zone=index % len(ZONES), machine="core") | {
                 "ip": ip,
                 "listen.ctl": f"{ip}:8166",
                 "survive.nodes": str(members // 2),
             }
 
-    def address(self, *, place: int) -> str:
-        return self.lines[self.names[place]]["listen.ctl"]
+    def address(self, *, index: int) -> str:
+        """IP and port where operators call a daemon."""
+        return self.settings_by_name[self.names[index]]["listen.ctl"]
 
-    def host(self, *, place: int) -> SimHost:
-        return self.hosts[self.names[place]]
+    def host(self, *, index: int) -> SimHost:
+        """The process that is running or ran last on a machine."""
+        return self.hosts[self.names[index]]
 
-    def core(self, *, place: int) -> Core | None:
-        """The daemon that runs there; None when none does."""
-        core = self.cores.get(self.names[place])
-        if core is None or core.host is not self.host(place=place) or not core.host.alive:
+    def core(self, *, index: int) -> Core | None:
+        """The running daemon on a machine, or None."""
+        core = self.cores.get(self.names[index])
+        if core is None or core.host is not self.host(index=index) or not core.host.alive:
             return None
         return core
 
-    def start(self, *, place: int) -> None:
-        """Every start but a daemon's first is told that it is not the first of the whole system."""
-        name = self.names[place]
-        seeds = ",".join(self.address(place=seed) for seed in range(SEEDS))
-        rows = self.lines[name] | {"seeds": seeds}
-        settings = settings_file.settings(lines=rows)
-        self.lines[name] = rows | {"bootstrap": "false"}
+    def start(self, *, index: int) -> None:
+        """Starts a daemon; every start but its first has `bootstrap` false: the system has been started before."""
+        name = self.names[index]
+        seeds = ",".join(self.address(index=seed) for seed in range(SEED_COUNT))
+        lines = self.settings_by_name[name] | {"seeds": seeds}
+        settings = settings_file.settings(lines=lines)
+        self.settings_by_name[name] = lines | {"bootstrap": "false"}
 
         def run(host: SimHost) -> None:
             core = Core(host=host, settings=settings)
@@ -64,31 +70,31 @@
                 while True:
                     host.sleep(wait=timedelta(hours=1))
 
-        self.hosts[name] = self.world.start(name=name, ip=rows["ip"], site=rows["az"], run=run)
+        self.hosts[name] = self.world.start(name=name, ip=lines["ip"], site=lines["az"], run=run)
 
-    def kill(self, *, place: int, unsynced_lost: bool) -> None:
-        """Ends the process; with `unsynced_lost` nothing of what it was writing is found again, as when power goes."""
-        host = self.host(place=place)
+    def kill(self, *, index: int, unsynced_lost: bool) -> None:
+        """Kills the process; with `unsynced_lost`, the write in progress is lost, as on a power failure."""
+        host = self.host(index=index)
         if unsynced_lost:
             host.writing = None
         host.kill()
 
-    def wipe(self, *, place: int) -> None:
-        """A disk that was emptied."""
-        self.host(place=place).machine.disk = Disk()
-
-    def move(self, *, place: int) -> None:
-        """An empty machine takes over a name, at a new address."""
-        name = self.names[place]
-        self.replaced += 1
-        ip = f"10.{place + 1}.9.{self.replaced}"
-        self.lines[name] |= {"ip": ip, "listen.ctl": f"{ip}:8166"}
-
-    def agreements(self) -> list[tuple[int, Any, Core]]:
-        """Place, agreement and daemon of each that runs."""
-        found = []
-        for place in range(len(self.names)):
-            core = self.core(place=place)
+    def wipe(self, *, index: int) -> None:
+        """Replaces the disk by an empty one."""
+        self.host(index=index).machine.disk = Disk()
+
+    def replace(self, *, index: int) -> None:
+        """Moves a machine name to an empty machine with a new address, from the next start."""
+        name = self.names[index]
+        self.replacements += 1
+        ip = f"10.{index + 1}.9.{self.replacements}"
+        self.settings_by_name[name] |= {"ip": ip, "listen.ctl": f"{ip}:8166"}
+
+    def running_daemons(self) -> list[tuple[int, Any, Core]]:
+        """Machine index, view agreement and daemon of every running daemon."""
+        daemons = []
+        for index in range(len(self.names)):
+            core = self.core(index=index)
             if core is not None and hasattr(core, "chain"):
-                found.append((place, core.agreement, core))
-        return found
+                daemons.append((index, core.agreement, core))
+        return daemons
--- a/tests/control_model/steps.py
+++ b/tests/control_model/steps.py
@@ -1,4 +1,7 @@
-"""The steps of a schedule, and how hypothesis draws them."""
+"""Steps of a schedule and the hypothesis strategies that draw them.
+
+Hypothesis replays a seed by the order and shape of its draws: a changed strategy gives other schedules.
+"""
 
 import dataclasses
 from datetime import timedelta
@@ -8,14 +11,15 @@
 
 from dockmux.runtime.time_units import ms
 
-STEPS_LEAST, STEPS_MOST = 14, 36
-LOSS_SHORT_MS, LOSS_LONG_MS = (5, 800), (2500, 7000)
-# With more of both the clocks become so unsure that changes are refused for long after: `found_test.py` has that.
-JITTER_MOST_MS, SLOW_MOST_MS = 80, 80
+MIN_STEPS, MAX_STEPS = 14, 36
+SHORT_OUTAGE_RANGE_MS, LONG_OUTAGE_RANGE_MS = (5, 800), (2500, 7000)
+# With more of both, the clock error bound grows so much that changes are refused long afterwards; see
+# `regression_test.py`.
+MAX_JITTER_MS, MAX_EXTRA_DELAY_MS = 80, 80
 
 
-class Loss(StrEnum):
-    """What takes a machine out for a while."""
+class Outage(StrEnum):
+    """How a machine becomes unavailable for a while."""
 
     KILLED = "killed"
     POWER_LOST = "power lost"
@@ -29,8 +33,8 @@
     STOPPED_BETWEEN = "stopped between two instructions"
 
 
-class Place(StrEnum):
-    """Whom a fault befalls: a machine by its number, or whichever has a part in the chain just then."""
+class Target(StrEnum):
+    """The machine a fault applies to: by index, or by its position in the chain at that moment."""
 
     HEAD = "head"
     MIDDLE = "middle"
@@ -42,16 +46,16 @@
     FIFTH = "4"
 
 
-class Ways(StrEnum):
-    """Which way nothing passes."""
+class CutDirection(StrEnum):
+    """The directions in which a network cut drops traffic, seen from the target."""
 
     BOTH = "both ways"
     FROM_IT = "from it"
     TO_IT = "to it"
 
 
-class Base(StrEnum):
-    """What a put starts from."""
+class PutBase(StrEnum):
+    """The version a put is based on."""
 
     NEWEST_ACKNOWLEDGED = "newest acknowledged"
     NEWEST_SENT = "newest sent"
@@ -60,38 +64,41 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Step:
-    """Something that happens. Invariant: the next step begins `wait` later, whether or not this one is over."""
+    """One action of a schedule. Invariant: the next step starts `wait` later, whether or not this one has ended."""
 
     wait: timedelta
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class NoStep(Step):
-    """Nothing happens. What hypothesis makes of a step that a failure does not need, since it draws lists of a least
-    length, without which they would be too short to bring much about."""
+class NoOpStep(Step):
+    """Does nothing. Hypothesis shrinks a step that a failure does not need to this one, because it cannot remove it:
+    schedules have a minimum length, without which most would be too short to cause anything."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PutStep(Step):
-    """Operators put `racing` changes of one number at once, each to another daemon."""
+    """Operators put `concurrent` changes of one version at once, each to another daemon, the first to `control`.
+
+    With `resend`, a put without a definite response is retried.
+    """
 
     control: int
-    base: Base
-    racing: int
+    base: PutBase
+    concurrent: int
     resend: bool
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ReadStep(Step):
-    """An operator reads from one daemon after another."""
+    """An operator reads `count` times, from one daemon after another, starting with `control`."""
 
     control: int
-    times: int
+    count: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ResendStep(Step):
-    """A change that was sent before is sent again, with the same text: `back` changes before the newest."""
+    """Resends an earlier change with the same text: the one `back` changes before the last one sent."""
 
     control: int
     back: int
@@ -99,125 +106,133 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TrafficStep(Step):
-    """For a while an operator calls one daemon after another: reads, and now and then puts on what is newest."""
+    """For `duration`, calls one daemon after another every `interval`: reads, and some puts on the newest version."""
 
-    lasts: timedelta
-    every: timedelta
+    duration: timedelta
+    interval: timedelta
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class LossStep(Step):
-    """A machine is lost for a while."""
+class OutageStep(Step):
+    """Makes a machine unavailable for `duration`.
+
+    `stop_at_call` counts the host calls (clock reads and sends) after which STOPPED_BETWEEN halts the machine; with
+    DISK_FAILING, an odd value also kills the process before the disk works again.
+    """
 
-    place: Place
-    loss: Loss
-    lasts: timedelta
-    at: int
+    target: Target
+    outage: Outage
+    duration: timedelta
+    stop_at_call: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class CutStep(Step):
-    """Nothing passes between one machine and another (or all others, without `other`)."""
+    """Drops all traffic between `target` and `peer`, or all other machines if `peer` is None."""
 
-    place: Place
-    other: Place | None
-    ways: Ways
-    lasts: timedelta
+    target: Target
+    peer: Target | None
+    direction: CutDirection
+    duration: timedelta
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class AllKilledStep(Step):
-    """All processes end and all disks are kept."""
+class KillAllStep(Step):
+    """Kills all processes and keeps all disks; with `unsynced_lost`, writes that were not synced are lost."""
 
     unsynced_lost: bool
-    lasts: timedelta
+    duration: timedelta
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class WallStep(Step):
-    """A machine's wall clock is set by so much."""
+class WallClockOffsetStep(Step):
+    """Moves a machine's wall clock by `offset`."""
 
-    place: Place
-    by: timedelta
+    target: Target
+    offset: timedelta
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SlowDiskStep(Step):
-    """A disk takes so long over each write."""
+    """Makes each write to a disk take `delay`."""
 
-    place: Place
+    target: Target
     delay: timedelta
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class WeatherStep(Step):
-    """The network loses, doubles and delays; of streams, each packet comes later."""
+class NetworkFaultStep(Step):
+    """Makes the network lose, duplicate and delay (by up to `jitter`) datagrams, and delay every packet, also those
+    of streams, by `extra_delay`."""
 
-    lossPercent: int
-    doubledPercent: int
+    loss_percent: int
+    duplicate_percent: int
     jitter: timedelta
-    slow: timedelta
+    extra_delay: timedelta
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class HealStep(Step):
-    """The network and the disks' speed are as at first."""
+    """Restores the network and the disk speeds to their initial state."""
 
 
-def _spans(*, least_ms: int, most_ms: int) -> strategies.SearchStrategy[timedelta]:
-    return strategies.integers(least_ms, most_ms).map(ms)
+def _durations(*, min_ms: int, max_ms: int) -> strategies.SearchStrategy[timedelta]:
+    return strategies.integers(min_ms, max_ms).map(ms)
 
 
 def _waits() -> strategies.SearchStrategy[timedelta]:
-    return strategies.one_of(_spans(least_ms=0, most_ms=60), _spans(least_ms=0, most_ms=2500))
+    return strategies.one_of(_durations(min_ms=0, max_ms=60), _durations(min_ms=0, max_ms=2500))
 
 
 def steps(*, members: int) -> strategies.SearchStrategy[Step]:
-    """Any one step."""
+    """One step of any kind, for a control plane of `members` machines."""
     controls = strategies.integers(0, members - 1)
-    places = strategies.sampled_from([Place.HEAD, Place.MIDDLE, Place.TAIL, *list(Place)[3 : 3 + members]])
-    lasts = strategies.one_of(
-        _spans(least_ms=LOSS_SHORT_MS[0], most_ms=LOSS_SHORT_MS[1]),
-        _spans(least_ms=LOSS_LONG_MS[0], most_ms=LOSS_LONG_MS[1]),
+    targets = strategies.sampled_from([Target.HEAD, Target.MIDDLE, Target.TAIL, *list(Target)[3 : 3 + members]])
+    duration = strategies.one_of(
+        _durations(min_ms=SHORT_OUTAGE_RANGE_MS[0], max_ms=SHORT_OUTAGE_RANGE_MS[1]),
+        _durations(min_ms=LONG_OUTAGE_RANGE_MS[0], max_ms=LONG_OUTAGE_RANGE_MS[1]),
     )
     puts = strategies.builds(
-        PutStep, wait=_waits(), control=controls, base=strategies.sampled_from(Base),
-        racing=strategies.integers(1, 3), resend=strategies.booleans(),
+        PutStep, wait=_waits(), control=controls, base=strategies.sampled_from(PutBase),
+        concurrent=strategies.integers(1, 3), resend=strategies.booleans(),
     )  # fmt: skip
-    reads = strategies.builds(ReadStep, wait=_waits(), control=controls, times=strategies.integers(1, 4))
-    traffic = strategies.builds(
-        TrafficStep, wait=_waits(), lasts=_spans(least_ms=500, most_ms=8000), every=_spans(least_ms=60, most_ms=400)
+    reads = strategies.builds(ReadStep, wait=_waits(), control=controls, count=strategies.integers(1, 4))
+    call_traffic = strategies.builds(
+        TrafficStep,
+        wait=_waits(),
+        duration=_durations(min_ms=500, max_ms=8000),
+        interval=_durations(min_ms=60, max_ms=400),
     )
     resends = strategies.builds(ResendStep, wait=_waits(), control=controls, back=strategies.integers(0, 3))
-    losses = strategies.builds(
-        LossStep, wait=_waits(), place=places, loss=strategies.sampled_from(Loss), lasts=lasts,
-        at=strategies.integers(1, 40),
+    outages = strategies.builds(
+        OutageStep, wait=_waits(), target=targets, outage=strategies.sampled_from(Outage), duration=duration,
+        stop_at_call=strategies.integers(1, 40),
     )  # fmt: skip
     cuts = strategies.builds(
-        CutStep, wait=_waits(), place=places, other=strategies.one_of(strategies.none(), places),
-        ways=strategies.sampled_from(Ways), lasts=lasts,
+        CutStep, wait=_waits(), target=targets, peer=strategies.one_of(strategies.none(), targets),
+        direction=strategies.sampled_from(CutDirection), duration=duration,
     )  # fmt: skip
-    walls = strategies.builds(
-        WallStep, wait=_waits(), place=places, by=_spans(least_ms=-86_400_000, most_ms=86_400_000)
+    wall_clock_offsets = strategies.builds(
+        WallClockOffsetStep, wait=_waits(), target=targets, offset=_durations(min_ms=-86_400_000, max_ms=86_400_000)
     )
-    slow_disks = strategies.builds(SlowDiskStep, wait=_waits(), place=places, delay=_spans(least_ms=2, most_ms=600))
-    weather = strategies.builds(
-        WeatherStep, wait=_waits(), lossPercent=strategies.integers(0, 40),
-        doubledPercent=strategies.integers(0, 40), jitter=_spans(least_ms=0, most_ms=JITTER_MOST_MS),
-        slow=_spans(least_ms=0, most_ms=SLOW_MOST_MS),
+    slow_disks = strategies.builds(SlowDiskStep, wait=_waits(), target=targets, delay=_durations(min_ms=2, max_ms=600))
+    network_faults = strategies.builds(
+        NetworkFaultStep, wait=_waits(), loss_percent=strategies.integers(0, 40),
+        duplicate_percent=strategies.integers(0, 40), jitter=_durations(min_ms=0, max_ms=MAX_JITTER_MS),
+        extra_delay=_durations(min_ms=0, max_ms=MAX_EXTRA_DELAY_MS),
     )  # fmt: skip
-    all_killed = strategies.builds(
-        AllKilledStep, wait=_waits(), unsynced_lost=strategies.booleans(), lasts=_spans(least_ms=1, most_ms=1500)
+    kill_all = strategies.builds(
+        KillAllStep, wait=_waits(), unsynced_lost=strategies.booleans(), duration=_durations(min_ms=1, max_ms=1500)
     )
     heals = strategies.builds(HealStep, wait=_waits())
-    nothing = strategies.builds(NoStep, wait=strategies.just(ms(0)))
-    # As often as they stand here; the first is what a step is shortened to.
+    no_ops = strategies.builds(NoOpStep, wait=strategies.just(ms(0)))
+    # Repeated alternatives are drawn more often; a step shrinks to the first alternative.
     return strategies.one_of(
-        nothing, puts, puts, puts, reads, traffic, traffic, resends, losses, losses, losses, cuts, cuts, cuts,
-        walls, slow_disks, weather, all_killed, heals,
+        no_ops, puts, puts, puts, reads, call_traffic, call_traffic, resends, outages, outages, outages, cuts, cuts,
+        cuts, wall_clock_offsets, slow_disks, network_faults, kill_all, heals,
     )  # fmt: skip
 
 
 def schedules(*, members: int) -> strategies.SearchStrategy[list[Step]]:
-    """Steps one after the other."""
-    return strategies.lists(steps(members=members), min_size=STEPS_LEAST, max_size=STEPS_MOST)
+    """A schedule: MIN_STEPS to MAX_STEPS steps."""
+    return strategies.lists(steps(members=members), min_size=MIN_STEPS, max_size=MAX_STEPS)
--- a/tests/planted_faults/__init__.py
+++ b/tests/planted_faults/__init__.py
@@ -1,1 +1,1 @@
-"""Each condition that the control plane's promises rest on, taken out on purpose, and what notices."""
+"""Mutation tests of the control plane: each safety condition is removed in turn, and a test must notice it."""
--- a/tests/planted_faults/fault.py
+++ b/tests/planted_faults/fault.py
@@ -1,4 +1,4 @@
-"""A planted fault: a product function with one of its conditions taken out, for as long as a context lasts."""
+"""Planted faults: product functions with a safety condition removed for the duration of a context."""
 
 import dataclasses
 import inspect
@@ -8,14 +8,16 @@
 from typing import Any
 
 
-class NoSuchText(Exception):
-    """The product no longer has the text that a rewrite is to replace: the table must follow it."""
+class SourceTextNotFound(Exception):
+    """The source text that a rewrite replaces is not in the product exactly once; update the table of faults."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Rewrite:
-    """One method of a product class, or function of a module, with a piece of its source replaced. Invariant: the
-    piece stands there once."""
+    """Replaces `old` by `new` in the source of a method or module function of the product.
+
+    `owner` is the class or module. Invariant: `old` occurs exactly once in that source.
+    """
 
     owner: Any
     method: str
@@ -23,18 +25,20 @@
     new: str
 
     def rewritten(self) -> Any:
+        """The function compiled from the changed source. Raises SourceTextNotFound."""
         function = getattr(self.owner, self.method)
         source = textwrap.dedent(inspect.getsource(function))
         if source.count(self.old) != 1:
-            raise NoSuchText(
-                f"{self.owner.__name__}.{self.method}: {self.old!r} stands there {source.count(self.old)}x"
+            raise SourceTextNotFound(
+                f"{self.owner.__name__}.{self.method}: {self.old!r} occurs {source.count(self.old)}x, not once"
             )
-        found: dict[str, Any] = {}
-        exec(compile(source.replace(self.old, self.new), self.method, "exec"), function.__globals__, found)
-        return found[self.method]
+        namespace: dict[str, Any] = {}
+        exec(compile(source.replace(self.old, self.new), self.method, "exec"), function.__globals__, namespace)
+        return namespace[self.method]
 
     @contextmanager
     def planted(self) -> Iterator[None]:
+        """Replaces the function for the duration of the context."""
         function = getattr(self.owner, self.method)
         setattr(self.owner, self.method, self.rewritten())
         try:
@@ -45,8 +49,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PlantedFault:
-    """A condition, and how to take it out. Invariants: `directed` names the scenario that should catch it, if there is
-    one; `harmless` says why nothing need catch it, if so."""
+    """A safety condition and the rewrites that remove it.
+
+    Invariants: `directed` names the scenario that catches the fault, or is empty; `harmless` says why no test needs
+    to catch it, or is empty.
+    """
 
     name: str
     condition: str
@@ -56,6 +63,7 @@
 
     @contextmanager
     def planted(self) -> Iterator[None]:
+        """Applies all rewrites for the duration of the context."""
         with ExitStack() as stack:
             for rewrite in self.rewrites:
                 stack.enter_context(rewrite.planted())
