--- a/tests/control_model/history.py
+++ b/tests/control_model/history.py
@@ -12,8 +12,8 @@
 
 # Period of the state sampler; a sampled state may have become true up to one period earlier.
 SAMPLE_INTERVAL = ms(20)
-REFUSALS = (400, 409, 412, 422)
-OUTDATED = 412
+REFUSAL_STATUSES = (400, 409, 412, 422)
+OUTDATED_STATUS = 412
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -252,7 +252,7 @@
 def _newer_sent_before(*, history: History, change: Change, moment: timedelta) -> bool:
     """Whether a newer change may have been acknowledged by `moment`."""
     return any(
-        put.change.version > change.version and put.sent_at <= moment and put.status not in REFUSALS
+        put.change.version > change.version and put.sent_at <= moment and put.status not in REFUSAL_STATUSES
         for put in history.puts
     )
 
@@ -262,7 +262,7 @@
     violations = []
     for put in history.puts:
         acknowledged_at = first.get(put.change)
-        if put.status not in REFUSALS or acknowledged_at is None or put.sent_at < acknowledged_at:
+        if put.status not in REFUSAL_STATUSES or acknowledged_at is None or put.sent_at < acknowledged_at:
             continue
         if newer == _newer_sent_before(history=history, change=put.change, moment=put.ended_at):
             violations.append(
@@ -289,7 +289,7 @@
         acknowledged_at[row.change] = min(row.at, acknowledged_at.get(row.change, row.at))
     violations = []
     for put in history.puts:
-        if put.status != OUTDATED:
+        if put.status != OUTDATED_STATUS:
             continue
         # A sampled state may have become true up to one sample interval earlier.
         newer = [at for change, at in acknowledged_at.items() if change.version > put.change.base]
--- a/tests/control_model/schedule_runner.py
+++ b/tests/control_model/schedule_runner.py
@@ -39,7 +39,7 @@
 START_TIMEOUT = 20 * SECOND
 RECOVERY_TIMEOUT = 40 * SECOND
 STOP_POINT_TIMEOUT = 2 * SECOND
-LINK_US = 700
+LINK_LATENCY_US = 700
 FULL_DISK_FREE_BYTES = 150
 
 
@@ -314,7 +314,7 @@
 @contextmanager
 def started_control_plane(*, members: int, seed: int) -> Iterator[ScheduleRunner]:
     """A running control plane that has been given time to accept its first change."""
-    with World(seed=seed, linkUs=LINK_US).open() as world:
+    with World(seed=seed, linkUs=LINK_LATENCY_US).open() as world:
         runner = ScheduleRunner(world=world, members=members)
         runner.start()
         yield runner
--- a/tests/control_model/state_sampler.py
+++ b/tests/control_model/state_sampler.py
@@ -40,13 +40,13 @@
         self.last_log_sample = -LOG_SAMPLE_INTERVAL
 
     def run(self) -> None:
-        """Samples for ever."""
+        """Samples every SAMPLE_INTERVAL, without end."""
         while True:
             self.sample()
             self.machines.client_host.sleep(wait=SAMPLE_INTERVAL)
 
     def sample(self) -> None:
-        """Takes one sample; the logs, which are large, only every LOG_SAMPLE_INTERVAL."""
+        """Takes one sample; logs are included at most once per LOG_SAMPLE_INTERVAL."""
         now = self.machines.world.now()
         sample_logs = now - self.last_log_sample >= LOG_SAMPLE_INTERVAL
         if sample_logs:
--- a/tests/planted_faults/probes.py
+++ b/tests/planted_faults/probes.py
@@ -35,7 +35,7 @@
 from dockmux.simulator.world import World
 from tests.control_model.history import Change
 from tests.control_model.operators import encode_change
-from tests.control_model.schedule_runner import LINK_US, ScheduleRunner, started_control_plane
+from tests.control_model.schedule_runner import LINK_LATENCY_US, ScheduleRunner, started_control_plane
 
 SEED = 1
 SECOND = timedelta(seconds=1)
@@ -365,7 +365,7 @@
 @contextmanager
 def _without_first_change(*, started: int) -> Iterator[ScheduleRunner]:
     """The first `started` daemons of a control plane of three, with no change put yet."""
-    with World(seed=SEED, linkUs=LINK_US).open() as world:
+    with World(seed=SEED, linkUs=LINK_LATENCY_US).open() as world:
         runner = ScheduleRunner(world=world, members=3)
         for index in range(started):
             runner.machines.start(index=index)
