--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Soak runs: the project's programs as real processes on loopback addresses, under troubles drawn from a seed."""
+"""Soak runs: the daemons as real processes on loopback addresses, under faults drawn from a seed."""
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m tests.soak --seeds A-B --seconds N`: plays seeds, prints what broke; exit 0 only when nothing did."""
+"""`python -m tests.soak --seeds A-B --seconds N`: plays seeds, prints violations; exit 0 only if there are none."""
 
 import argparse
 import asyncio
@@ -10,113 +10,115 @@
 from pathlib import Path
 
 from tests.soak.history import History
-from tests.soak.judge import Breach, judge, trace
-from tests.soak.machines import CannotRun
-from tests.soak.plan import Plan, draw, load
-from tests.soak.run import play
+from tests.soak.judge import Violation, describe_request, judge
+from tests.soak.machines import SetupError
+from tests.soak.plan import Plan, draw_plan, load_plan
+from tests.soak.run import run_plan
 
-# What one of the project's processes takes, rounded up, and how many processes a run may have.
+# The memory of one daemon, rounded up, and how many daemons a run may have; they decide what --most starts.
 PROCESS_MB = 60
-PROCESSES_MOST = 160
-SHOWN_MOST = 5
+MAX_PROCESSES = 160
+MAX_SHOWN_VIOLATIONS = 5
 
 
-def parse(*, words: list[str]) -> argparse.Namespace:
+def parse_arguments(*, arguments: list[str]) -> argparse.Namespace:
     parser = argparse.ArgumentParser(prog="python -m tests.soak", description=__doc__)
     parser.add_argument("--seeds", default="1-1", help="A-B, or one seed")
-    parser.add_argument("--seconds", type=float, default=25.0, help="how long clients and troubles last")
+    parser.add_argument("--seconds", type=float, default=25.0, help="how long clients send and faults are injected")
     parser.add_argument("--edges", type=int, default=3)
     parser.add_argument("--cores", type=int, default=3)
     parser.add_argument("--engines", type=int, default=5)
-    parser.add_argument("--most", action="store_true", help="as many edges as the machine bears")
-    parser.add_argument("--plan", type=Path, help="play a plan's file in place of drawn ones")
-    parser.add_argument("--shrink", action="store_true", help="leave out what a failing plan does not need")
-    parser.add_argument("--keep", type=Path, default=None, help="a folder for the plans of failing seeds")
-    return parser.parse_args(words)
+    parser.add_argument("--most", action="store_true", help="as many edges as the host can run")
+    parser.add_argument("--plan", type=Path, help="play the plan in this file instead of drawing plans")
+    parser.add_argument("--shrink", action="store_true", help="reduce a failing plan to the steps that it needs")
+    parser.add_argument("--keep", type=Path, default=None, help="folder to write the plans of failing seeds to")
+    return parser.parse_args(arguments)
 
 
-def edges_most(*, cores: int) -> int:
+def max_edges(*, cores: int) -> int:
+    """How many edges fit beside the cores: half of the host's memory, and MAX_PROCESSES in all."""
     total_mb = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") // 2**20
-    count = min(PROCESSES_MOST, total_mb // 2 // PROCESS_MB) - cores
+    count = min(MAX_PROCESSES, total_mb // 2 // PROCESS_MB) - cores
     print(f"--most: {count} edges and {cores} cores at {PROCESS_MB} MB, under half of {total_mb} MB", flush=True)
     return count
 
 
-def plans(*, parsed: argparse.Namespace) -> list[Plan]:
+def requested_plans(*, parsed: argparse.Namespace) -> list[Plan]:
+    """The plan of the given file, or one plan for each seed."""
     if parsed.plan is not None:
-        return [load(path=parsed.plan)]
+        return [load_plan(path=parsed.plan)]
     first, _, last = parsed.seeds.partition("-")
-    edges = edges_most(cores=parsed.cores) if parsed.most else parsed.edges
+    edges = max_edges(cores=parsed.cores) if parsed.most else parsed.edges
     return [
-        draw(seed=seed, seconds=parsed.seconds, edges=edges, cores=parsed.cores, engines=parsed.engines)
+        draw_plan(seed=seed, seconds=parsed.seconds, edges=edges, cores=parsed.cores, engines=parsed.engines)
         for seed in range(int(first), int(last or first) + 1)
     ]
 
 
-def play_once(*, plan: Plan, timed: bool = True) -> tuple[list[Breach], History]:
-    history = asyncio.run(play(plan=plan))
+def run_and_judge(*, plan: Plan, timed: bool = True) -> tuple[list[Violation], History]:
+    history = asyncio.run(run_plan(plan=plan))
     return judge(history=history, timed=timed), history
 
 
-def report(*, plan: Plan, breaches: list[Breach], history: History, took_s: float) -> None:
-    served = sum(row.whole and 200 <= row.status < 300 for row in history.tries)
-    taken = sum(change.status == 200 for change in history.changes)
-    rules = ", ".join(f"{rule} {count}" for rule, count in Counter(each.rule for each in breaches).items())
+def report(*, plan: Plan, violations: list[Violation], history: History, took_s: float) -> None:
+    served = sum(request.complete and 200 <= request.status < 300 for request in history.requests)
+    acknowledged = sum(change.status == 200 for change in history.changes)
+    rules = ", ".join(f"{rule} {count}" for rule, count in Counter(each.rule for each in violations).items())
     print(
-        f"seed {plan.seed}: {rules or 'held'}; {len(history.tries)} tries, {served} served, {taken} changes taken, "
-        f"{len(history.troubles)} troubles, {took_s:.0f} s",
+        f"seed {plan.seed}: {rules or 'no violations'}; {len(history.requests)} requests, {served} served, "
+        f"{acknowledged} changes acknowledged, {len(history.faults)} faults, {took_s:.0f} s",
         flush=True,
     )
-    shown = {breach.rule: breach for breach in reversed(breaches)}
-    for breach in [*shown.values(), *breaches[:SHOWN_MOST]]:
-        print(f"  {breach.rule} {breach.request_id} {breach.what}")
-        print("\n".join(trace(history=history, request_id=breach.request_id)), flush=True)
+    shown = {violation.rule: violation for violation in reversed(violations)}
+    for violation in [*shown.values(), *violations[:MAX_SHOWN_VIOLATIONS]]:
+        print(f"  {violation.rule} {violation.request_id} {violation.detail}")
+        print("\n".join(describe_request(history=history, request_id=violation.request_id)), flush=True)
 
 
 def shrink(*, plan: Plan, rules: set[str]) -> Plan:
-    """Leaves out one step after the other as long as one of the same rules breaks."""
-    place = 0
-    while place < len(plan.steps):
-        smaller = plan.without(place=place)
-        breaches, _ = play_once(plan=smaller)
-        if rules & {breach.rule for breach in breaches}:
-            plan = smaller
-            print(f"  without step {place}: still broken, {len(plan.steps)} steps are left", flush=True)
+    """Removes one step after the other, as long as one of the same rules is still broken."""
+    index = 0
+    while index < len(plan.steps):
+        candidate = plan.without(index=index)
+        violations, _ = run_and_judge(plan=candidate)
+        if rules & {violation.rule for violation in violations}:
+            plan = candidate
+            print(f"  without step {index}: still fails, {len(plan.steps)} steps are left", flush=True)
         else:
-            place += 1
+            index += 1
     return plan
 
 
-def play_and_report(*, plan: Plan, parsed: argparse.Namespace) -> bool:
-    """Whether the plan held."""
-    began = time.monotonic()
+def run_and_report(*, plan: Plan, parsed: argparse.Namespace) -> bool:
+    """Plays and judges one plan, and prints the report; whether it ran without violations."""
+    started_at = time.monotonic()
     try:
-        breaches, history = play_once(plan=plan)
-    except CannotRun as error:
+        violations, history = run_and_judge(plan=plan)
+    except SetupError as error:
         print(f"seed {plan.seed}: could not run: {error}", flush=True)
         return False
-    report(plan=plan, breaches=breaches, history=history, took_s=time.monotonic() - began)
-    if not breaches:
+    report(plan=plan, violations=violations, history=history, took_s=time.monotonic() - started_at)
+    if not violations:
         return True
-    print("\n".join(plan.lines()), flush=True)
+    print("\n".join(plan.describe_steps()), flush=True)
     if parsed.shrink:
-        plan = shrink(plan=plan, rules={breach.rule for breach in breaches})
-        print("\n".join(["least plan:", *plan.lines()]), flush=True)
+        plan = shrink(plan=plan, rules={violation.rule for violation in violations})
+        print("\n".join(["smallest failing plan:", *plan.describe_steps()]), flush=True)
     if parsed.keep is not None:
         parsed.keep.mkdir(parents=True, exist_ok=True)
-        (parsed.keep / f"seed-{plan.seed}.json").write_text(plan.text())
+        (parsed.keep / f"seed-{plan.seed}.json").write_text(plan.to_json())
     return False
 
 
-def main(words: list[str]) -> int:
+def main(arguments: list[str]) -> int:
     def end(*_: object) -> None:
         raise KeyboardInterrupt
 
     signal.signal(signal.SIGTERM, end)
-    parsed = parse(words=words)
-    held = [play_and_report(plan=plan, parsed=parsed) for plan in plans(parsed=parsed)]
-    print(f"{sum(held)} passed, {len(held) - sum(held)} failed", flush=True)
-    return 0 if all(held) else 1
+    parsed = parse_arguments(arguments=arguments)
+    passed = [run_and_report(plan=plan, parsed=parsed) for plan in requested_plans(parsed=parsed)]
+    print(f"{sum(passed)} passed, {len(passed) - sum(passed)} failed", flush=True)
+    return 0 if all(passed) else 1
 
 
 if __name__ == "__main__":
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,193 +1,219 @@
-"""The clients of a run: connections that are kept and rested, bodies of all sizes, and leaving at any moment."""
+"""The clients of a run: reused and idle connections, bodies of all sizes, disconnects at any point of a request."""
 
 import asyncio
 import random
 
-from tests.soak.history import Kind, Try
+from tests.soak.asyncio_http import STREAM_LIMIT_BYTES, chunk, head_bytes, read_body, read_head
+from tests.soak.history import ClientRequest, RequestKind
 from tests.soak.machines import SERVICE, Machines
-from tests.soak.wire import STREAM_LIMIT_BYTES, chunk, head_bytes, read_body, read_head
 from tests.standins.engine import plain_body, stream_body
 
 HOST = "desk.example"
 DEADLINE_S = 8.0
+# As `max_body_bytes` and `idle_ms` in the configuration (tests/standins/operator.py).
 BODY_LIMIT_BYTES = 4_194_304
-IDLE_S = 15.0
-CONNECT_S = 1.0
-SURPLUS_S = 0.01
-TRIES = 2
-PATHS = {Kind.RESUMED: "notes", Kind.STREAM: "once", Kind.REPEATABLE: "check", Kind.ONCE: "write"}
-LEAVE_SHARE = 0.08
-SLOW_SHARE = 0.04
+EDGE_IDLE_TIMEOUT_S = 15.0
+CONNECT_TIMEOUT_S = 1.0
+# How long a client waits for bytes that should not follow a complete answer.
+SURPLUS_WAIT_S = 0.01
+# `tries` of every route.
+MAX_ATTEMPTS = 2
+PATH_PREFIXES = {
+    RequestKind.RESUMED: "notes",
+    RequestKind.STREAM: "once",
+    RequestKind.REPEATABLE: "check",
+    RequestKind.ONCE: "write",
+}
+DISCONNECT_SHARE = 0.08
+SLOW_READER_SHARE = 0.04
 RESUME_SHARE = 0.8
 
 
 class Clients:
-    """Invariant: every try is in the history from before its first byte was sent. `added` are the routes that came
-    later, by prefix, with when they were acknowledged."""
+    """Sends requests to the edges in rotation and records them.
+
+    Invariant: every request is in the history before its first byte is sent. `added_routes` are the routes that were
+    added during the run, by prefix, with the time when they were acknowledged.
+    """
 
     def __init__(self, *, machines: Machines) -> None:
         self.machines = machines
-        self.random = random.Random(f"clients-{machines.plan.seed}")
-        self.added: dict[str, tuple[Kind, float]] = {}
-        self.sent = 0
-        self.ending = False
+        self.rng = random.Random(f"clients-{machines.plan.seed}")
+        self.added_routes: dict[str, tuple[RequestKind, float]] = {}
+        self.sent_count = 0
+        self.stopping = False
 
-    async def run_one(self) -> None:
-        """One client: a connection to an edge that the platform picks, for as long as it lasts."""
-        while not self.ending:
-            edge = self.random.choice(self.machines.offered)
+    async def run_client(self) -> None:
+        """One client: opens a connection to an edge in rotation, uses it while it lasts, and opens the next one."""
+        while not self.stopping:
+            edge = self.rng.choice(self.machines.edges_in_rotation)
             try:
                 ip, _, port = self.machines.edge_address(name=edge).rpartition(":")
-                async with asyncio.timeout(CONNECT_S):
+                async with asyncio.timeout(CONNECT_TIMEOUT_S):
                     reader, writer = await asyncio.open_connection(ip, int(port), limit=STREAM_LIMIT_BYTES)
             except (OSError, TimeoutError):
                 await asyncio.sleep(0.2)
                 continue
             try:
-                await self._use(edge=edge, reader=reader, writer=writer)
+                await self._use_connection(edge=edge, reader=reader, writer=writer)
             finally:
                 writer.close()
 
-    async def _use(self, *, edge: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Requests one after the other on one connection until it is gone."""
-        kept, again = False, None
-        while not self.ending:
-            row = self._draw(edge=edge, kept=kept) if again is None else again
-            again = None
-            await self._exchange(row=row, reader=reader, writer=writer)
-            if not row.whole or row.headers.get("connection", "").lower() == "close":
-                await self._resume(row=row)
-                await asyncio.sleep(float(row.headers.get("retry-after", "0")))
+    async def _use_connection(self, *, edge: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Sends requests one after the other on one connection until it is closed."""
+        on_reused_connection, next_request = False, None
+        while not self.stopping:
+            request = (
+                self._draw_request(edge=edge, on_reused_connection=on_reused_connection)
+                if next_request is None
+                else next_request
+            )
+            next_request = None
+            await self._exchange(request=request, reader=reader, writer=writer)
+            if not request.complete or request.headers.get("connection", "").lower() == "close":
+                await self._resume(request=request)
+                await asyncio.sleep(float(request.headers.get("retry-after", "0")))
                 return
-            kept = True
-            rest = self.random.choice((0.0, 0.05, 0.2, 0.5, 1.5, 3.0, self.random.uniform(0, 0.8 * IDLE_S)))
-            await asyncio.sleep(rest)
+            on_reused_connection = True
+            pause_s = self.rng.choice((0.0, 0.05, 0.2, 0.5, 1.5, 3.0, self.rng.uniform(0, 0.8 * EDGE_IDLE_TIMEOUT_S)))
+            await asyncio.sleep(pause_s)
             if reader.at_eof():
                 return
 
-    async def _resume(self, *, row: Try) -> None:
-        """Takes a stream that was cut up behind its last event, as a try of its own."""
-        cut = row.kind is Kind.RESUMED and row.status == 200 and not row.whole and not row.left_at
-        if not cut or self.random.random() > RESUME_SHARE:
+    async def _resume(self, *, request: ClientRequest) -> None:
+        """Mostly resumes a stream that was cut off, after its last complete event, as a request of its own."""
+        cut = (
+            request.kind is RequestKind.RESUMED
+            and request.status == 200
+            and not request.complete
+            and not request.disconnected_at
+        )
+        if not cut or self.rng.random() > RESUME_SHARE:
             return
-        count = row.body.count(b"\n\n")
-        again = self._draw(edge=self.random.choice(self.machines.offered), kept=False)
-        total = again.expected.count(b"\n\n")
-        if again.kind is not Kind.RESUMED or count >= total:
-            again.kind, again.target = Kind.RESUMED, f"/{PATHS[Kind.RESUMED]}/a"
+        count = request.body.count(b"\n\n")
+        resumed = self._draw_request(edge=self.rng.choice(self.machines.edges_in_rotation), on_reused_connection=False)
+        total = resumed.expected.count(b"\n\n")
+        if resumed.kind is not RequestKind.RESUMED or count >= total:
+            resumed.kind, resumed.target = RequestKind.RESUMED, f"/{PATH_PREFIXES[RequestKind.RESUMED]}/a"
             total = count + 20
-        again.last_event = count
-        again.events = total
-        again.expected = stream_body(request_id=again.request_id, count=total, after=count)
-        ip, _, port = self.machines.edge_address(name=again.edge).rpartition(":")
+        resumed.last_event = count
+        resumed.events = total
+        resumed.expected = stream_body(request_id=resumed.request_id, count=total, after=count)
+        ip, _, port = self.machines.edge_address(name=resumed.edge).rpartition(":")
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(ip, int(port), limit=STREAM_LIMIT_BYTES)
         except (OSError, TimeoutError) as error:
-            again.error, again.ended_at = f"no connection: {error}", self.machines.now()
+            resumed.error, resumed.ended_at = f"no connection: {error}", self.machines.now()
             return
         try:
-            await self._exchange(row=again, reader=reader, writer=writer)
+            await self._exchange(request=resumed, reader=reader, writer=writer)
         finally:
             writer.close()
 
-    def _draw(self, *, edge: str, kept: bool) -> Try:
-        source = self.random
-        self.sent += 1
-        kind = source.choices(tuple(Kind), weights=(5, 3, 3, 2))[0]
-        request_id = f"{self.sent:08x}{source.getrandbits(32):08x}"
-        prefix, late = PATHS[kind], 0.0
-        if self.added and source.random() < 0.3:
-            prefix = source.choice(sorted(self.added))
-            kind, late = self.added[prefix]
-        size = source.choices((60, 900, 20_000, 300_000, BODY_LIMIT_BYTES), weights=(60, 20, 12, 3, 0.3))[0]
-        body = source.randbytes(min(size, 4096)) * (size // min(size, 4096))
-        events = source.choices((2, 12, 40, 130, 200), weights=(4, 5, 4, 2, 1))[0] if kind.is_stream else 0
+    def _draw_request(self, *, edge: str, on_reused_connection: bool) -> ClientRequest:
+        """A random request, already added to the history."""
+        rng = self.rng
+        self.sent_count += 1
+        kind = rng.choices(tuple(RequestKind), weights=(5, 3, 3, 2))[0]
+        request_id = f"{self.sent_count:08x}{rng.getrandbits(32):08x}"
+        prefix, added_at = PATH_PREFIXES[kind], 0.0
+        if self.added_routes and rng.random() < 0.3:
+            prefix = rng.choice(sorted(self.added_routes))
+            kind, added_at = self.added_routes[prefix]
+        size = rng.choices((60, 900, 20_000, 300_000, BODY_LIMIT_BYTES), weights=(60, 20, 12, 3, 0.3))[0]
+        body = rng.randbytes(min(size, 4096)) * (size // min(size, 4096))
+        events = rng.choices((2, 12, 40, 130, 200), weights=(4, 5, 4, 2, 1))[0] if kind.is_stream else 0
         expected = (
             stream_body(request_id=request_id, count=events) if events else plain_body(request_id=request_id, body=body)
         )
-        row = Try(
+        request = ClientRequest(
             request_id=request_id, edge=edge, kind=kind, service=SERVICE, target=f"/{prefix}/a", sent_body=body,
-            expected=expected, tries=TRIES, sent_at=self.machines.now(), deadline_s=DEADLINE_S, kept=kept,
-            late_route_at=late, events=events,
+            expected=expected, max_attempts=MAX_ATTEMPTS, sent_at=self.machines.now(), deadline_s=DEADLINE_S,
+            on_reused_connection=on_reused_connection, route_added_at=added_at, events=events,
         )  # fmt: skip
-        self.machines.history.tries.append(row)
-        return row
+        self.machines.history.requests.append(request)
+        return request
 
-    def _pieces(self, *, row: Try) -> list[bytes]:
-        tokens = 12_000 if self.random.random() < 0.3 else 700
+    def _encode(self, *, request: ClientRequest) -> list[bytes]:
+        """The head of the request, then its body in pieces."""
+        tokens = 12_000 if self.rng.random() < 0.3 else 700
         fields = {
-            "Host": HOST, "X-Request-Id": row.request_id, "X-Model": "m", "X-Tokens": f"{tokens},{row.events}",
-            "X-Prompt-Prefix": f"5c1e07a2:{tokens // 2},{row.request_id[:8]}:{tokens // 2}",
-            "X-Deadline-Ms": f"{row.deadline_s * 1000:.0f}",
+            "Host": HOST, "X-Request-Id": request.request_id, "X-Model": "m", "X-Tokens": f"{tokens},{request.events}",
+            "X-Prompt-Prefix": f"5c1e07a2:{tokens // 2},{request.request_id[:8]}:{tokens // 2}",
+            "X-Deadline-Ms": f"{request.deadline_s * 1000:.0f}",
         }  # fmt: skip
-        if row.last_event:
-            fields["Last-Event-Id"] = str(row.last_event)
-        in_chunks = self.random.random() < 0.3
-        fields |= {"Transfer-Encoding": "chunked"} if in_chunks else {"Content-Length": str(len(row.sent_body))}
-        body = row.sent_body
+        if request.last_event:
+            fields["Last-Event-Id"] = str(request.last_event)
+        in_chunks = self.rng.random() < 0.3
+        fields |= {"Transfer-Encoding": "chunked"} if in_chunks else {"Content-Length": str(len(request.sent_body))}
+        body = request.sent_body
         step = 16_000
         pieces = [body[at : at + step] for at in range(0, len(body), step)]
         if in_chunks:
             pieces = [*(chunk(data=piece) for piece in pieces), chunk(data=b"")]
-        return [head_bytes(first=f"POST {row.target} HTTP/1.1", fields=fields), *pieces]
+        return [head_bytes(start_line=f"POST {request.target} HTTP/1.1", fields=fields), *pieces]
 
-    async def _exchange(self, *, row: Try, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        row.sent_at = self.machines.now()
-        leaves = self.random.choice(("head", "body", "answer")) if self.random.random() < LEAVE_SHARE else ""
-        slow = self.random.random() < SLOW_SHARE
+    async def _exchange(
+        self, *, request: ClientRequest, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        request.sent_at = self.machines.now()
+        disconnect_in = self.rng.choice(("head", "body", "answer")) if self.rng.random() < DISCONNECT_SHARE else ""
+        slow = self.rng.random() < SLOW_READER_SHARE
         try:
-            async with asyncio.timeout(row.deadline_s + 0.5):
-                if await self._send(row=row, writer=writer, leaves=leaves):
+            async with asyncio.timeout(request.deadline_s + 0.5):
+                if await self._send(request=request, writer=writer, disconnect_in=disconnect_in):
                     return
-                await self._receive(row=row, reader=reader, leaves=leaves, slow=slow)
+                await self._receive(request=request, reader=reader, disconnect_in=disconnect_in, slow=slow)
         except (OSError, TimeoutError, asyncio.IncompleteReadError, ValueError, asyncio.LimitOverrunError) as error:
-            row.error = f"{type(error).__name__} {error}"
+            request.error = f"{type(error).__name__} {error}"
         finally:
-            row.ended_at = self.machines.now()
-            if leaves and not row.whole:
-                row.left_at = row.ended_at
-            if row.left_at or row.error:
+            request.ended_at = self.machines.now()
+            if disconnect_in and not request.complete:
+                request.disconnected_at = request.ended_at
+            if request.disconnected_at or request.error:
                 writer.transport.abort()
 
-    async def _send(self, *, row: Try, writer: asyncio.StreamWriter, leaves: str) -> bool:
-        """Whether the client has left before the request was whole."""
-        pieces = self._pieces(row=row)
+    async def _send(self, *, request: ClientRequest, writer: asyncio.StreamWriter, disconnect_in: str) -> bool:
+        """Sends the request; True if the client disconnects before the request is fully sent."""
+        pieces = self._encode(request=request)
         data = b"".join(pieces) if len(pieces) < 4 else b""
-        if leaves in ("head", "body"):
-            whole = b"".join(pieces)
+        if disconnect_in in ("head", "body"):
+            encoded = b"".join(pieces)
             head = len(pieces[0])
-            cut = self.random.randrange(1, head) if leaves == "head" else self.random.randrange(head, len(whole))
-            writer.write(whole[:cut])
+            cut = self.rng.randrange(1, head) if disconnect_in == "head" else self.rng.randrange(head, len(encoded))
+            writer.write(encoded[:cut])
             await writer.drain()
-            await asyncio.sleep(self.random.choice((0.0, 0.02, 0.3)))
+            await asyncio.sleep(self.rng.choice((0.0, 0.02, 0.3)))
             return True
         for piece in [data] if data else pieces:
             writer.write(piece)
             await writer.drain()
-        row.sent_whole_at = self.machines.now()
+        request.fully_sent_at = self.machines.now()
         return False
 
-    async def _receive(self, *, row: Try, reader: asyncio.StreamReader, leaves: str, slow: bool) -> None:
+    async def _receive(
+        self, *, request: ClientRequest, reader: asyncio.StreamReader, disconnect_in: str, slow: bool
+    ) -> None:
         head = await read_head(reader=reader)
         if head is None:
-            row.error = "closed without an answer"
+            request.error = "closed without an answer"
             return
-        row.status, row.headers = int(head.first.split(" ")[1]), head.fields
-        if leaves:
-            await asyncio.sleep(self.random.uniform(0, 0.3))
+        request.status, request.headers = int(head.start_line.split(" ")[1]), head.fields
+        if disconnect_in:
+            await asyncio.sleep(self.rng.uniform(0, 0.3))
             return
-        got: list[bytes] = []
-        reading = read_body(reader=reader, head=head, note=got.append)
+        body: list[bytes] = []
+        reading = read_body(reader=reader, head=head, on_data=body.append)
         if slow:
-            await asyncio.sleep(self.random.uniform(0.3, 1.5))
+            await asyncio.sleep(self.rng.uniform(0.3, 1.5))
         try:
-            row.whole = await reading
+            request.complete = await reading
         finally:
-            row.body = b"".join(got)
-        if row.whole and row.headers.get("connection", "").lower() != "close":
+            request.body = b"".join(body)
+        if request.complete and request.headers.get("connection", "").lower() != "close":
             try:
-                async with asyncio.timeout(SURPLUS_S):
-                    row.surplus = await reader.read(100)
+                async with asyncio.timeout(SURPLUS_WAIT_S):
+                    request.surplus = await reader.read(100)
             except (TimeoutError, OSError):
                 pass
--- a/tests/soak/engine.py
+++ b/tests/soak/engine.py
@@ -1,4 +1,4 @@
-"""An engine of the soak, and the link before it, with the troubles that a plan switches on."""
+"""A simulated engine and the network link before it, with the faults that a plan injects into them."""
 
 import asyncio
 import contextlib
@@ -9,27 +9,30 @@
 from collections.abc import Callable
 from typing import Any
 
-from tests.soak.history import Arrival, History, Order
-from tests.soak.wire import STREAM_LIMIT_BYTES, chunk, head_bytes, read_body, read_head
+from tests.soak.asyncio_http import STREAM_LIMIT_BYTES, chunk, head_bytes, read_body, read_head
+from tests.soak.history import Arrival, History, PhaseOrder
 from tests.standins.engine import event, plain_body
 
-TOKENS_PER_MS = 48.2
+PREFILL_TOKENS_PER_MS = 48.2
 EVENT_PAUSE_S = 0.03
-PLAIN_S = 0.05
-HANDLE_HOLD_S = 5.0
+PLAIN_ANSWER_S = 0.05
+# As `kv_hold_s` in the configuration (tests/standins/operator.py).
+KV_HANDLE_HOLD_S = 5.0
 KEEP_ALIVE_S = 6
-SWAP_S = 1.8
-GREY_SHARE = 0.4
+# As `swap_s` in the configuration.
+PHASE_SWITCH_S = 1.8
+# The share of requests that a grey failure affects.
+GREY_FAULT_SHARE = 0.4
 GREY_KINDS = ("500", "504", "bare 503", "turned away", "failure with body", "failure like events", "cut in event")
 
 
 class Link:
-    """The network before one engine. Invariants: while `delay_s`, bytes to clients wait so long; while `deaf`, bytes to
-    the engine are held; `reset` ends every connection at once."""
+    """A TCP relay in front of one engine. Invariants: bytes from the engine are delayed by `delay_s`; while
+    `holds_requests`, bytes to the engine are held back; `reset` ends every connection at once with an RST."""
 
     def __init__(self) -> None:
         self.delay_s = 0.0
-        self.deaf = False
+        self.holds_requests = False
         self.writers: set[asyncio.StreamWriter] = set()
         self.server: asyncio.Server | None = None
         self.engine_address = ("", 0)
@@ -47,13 +50,13 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.add(writer)
-        inner = None
+        engine_writer = None
         try:
-            inner_reader, inner = await asyncio.open_connection(*self.engine_address, limit=STREAM_LIMIT_BYTES)
-            self.writers.add(inner)
+            engine_reader, engine_writer = await asyncio.open_connection(*self.engine_address, limit=STREAM_LIMIT_BYTES)
+            self.writers.add(engine_writer)
             tasks = [
-                asyncio.ensure_future(self._carry(source=reader, sink=inner, inbound=True)),
-                asyncio.ensure_future(self._carry(source=inner_reader, sink=writer, inbound=False)),
+                asyncio.ensure_future(self._forward(reader=reader, writer=engine_writer, to_engine=True)),
+                asyncio.ensure_future(self._forward(reader=engine_reader, writer=writer, to_engine=False)),
             ]
             await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
             for task in tasks:
@@ -61,50 +64,56 @@
         except OSError:
             pass
         finally:
-            for each in (writer, inner):
+            for each in (writer, engine_writer):
                 if each is not None:
                     self.writers.discard(each)
                     each.close()
 
-    async def _carry(self, *, source: asyncio.StreamReader, sink: asyncio.StreamWriter, inbound: bool) -> None:
+    async def _forward(self, *, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, to_engine: bool) -> None:
         with contextlib.suppress(OSError):
-            while data := await source.read(65536):
-                while inbound and self.deaf:
+            while data := await reader.read(65536):
+                while to_engine and self.holds_requests:
                     await asyncio.sleep(0.05)
-                if not inbound and self.delay_s:
+                if not to_engine and self.delay_s:
                     await asyncio.sleep(self.delay_s)
-                sink.write(data)
-                await sink.drain()
+                writer.write(data)
+                await writer.drain()
 
 
 class Engine:
-    """One life of an engine behind its link. Invariant: what it ran is in the history from its first token on."""
+    """An engine from its start to its end, reached through its link.
+
+    Invariants: every request that it received is in the history before it is processed; `name` is unique in a run;
+    `grey` is one of GREY_KINDS while a part of the requests fails; while `silent`, requests are read but not answered;
+    `busy` means that a phase change is under way. `state` is that of the list ("ready", "draining") or "crashed".
+    """
 
     def __init__(
-        self, *, history: History, now: Callable[[], float], handles: dict[str, tuple[str, float]], name: str,
+        self, *, history: History, now: Callable[[], float], kv_handles: dict[str, tuple[str, float]], name: str,
         service: str, address: str, phase: str, zone: str, seed: int,
     ) -> None:  # fmt: skip
         self.history = history
         self.now = now
-        self.handles = handles
+        self.kv_handles = kv_handles
         self.name = name
         self.service = service
         self.address = address
         self.phase = phase
         self.zone = zone
-        self.random = random.Random(f"{seed}-{name}")
+        self.rng = random.Random(f"{seed}-{name}")
         self.link = Link()
         self.grey = ""
         self.silent = False
         self.state = "ready"
         self.busy = False
-        self.orders = 0
+        self.order_count = 0
         self.fence = 0
         self.open: set[Arrival] = set()
         self.active = 0
         self.server: asyncio.Server | None = None
 
-    def row(self) -> dict[str, Any]:
+    def list_entry(self) -> dict[str, Any]:
+        """The engine's entry in the platform's list."""
         return {
             "svc": self.service, "addr": self.address, "az": self.zone, "gen": "v1", "slots": 64, "st": self.state,
             "cold_left_ms": 0, "phase": self.phase, "models": [{"name": "m", "gen": 1, "loras": []}], "id": self.name,
@@ -116,8 +125,8 @@
         self.link.engine_address = self.server.sockets[0].getsockname()[:2]
         await self.link.start(address=self.address)
 
-    def end(self) -> None:
-        """Nobody listens any more, and every connection is reset."""
+    def shut_down(self) -> None:
+        """Stops listening and resets every connection."""
         for server in (self.link.server, self.server):
             if server is not None:
                 server.close()
@@ -130,92 +139,97 @@
                 if head is None:
                     return
                 pieces: list[bytes] = []
-                framed = {"content-length", "transfer-encoding"} & head.fields.keys()
-                if framed and not await read_body(reader=reader, head=head, note=pieces.append):
+                has_body = {"content-length", "transfer-encoding"} & head.fields.keys()
+                if has_body and not await read_body(reader=reader, head=head, on_data=pieces.append):
                     return
                 while self.silent:
                     await asyncio.sleep(0.05)
-                await self._answer(first=head.first, fields=head.fields, body=b"".join(pieces), writer=writer)
+                await self._answer(start_line=head.start_line, fields=head.fields, body=b"".join(pieces), writer=writer)
                 await writer.drain()
         except (OSError, asyncio.IncompleteReadError, TimeoutError):
             return
         finally:
             writer.close()
 
-    async def _answer(self, *, first: str, fields: dict[str, str], body: bytes, writer: asyncio.StreamWriter) -> None:
-        _, target, _ = first.split(" ")
+    async def _answer(
+        self, *, start_line: str, fields: dict[str, str], body: bytes, writer: asyncio.StreamWriter
+    ) -> None:
+        _, target, _ = start_line.split(" ")
         if target == "/healthz":
-            well = self.state == "ready"
-            self._reply(writer=writer, status=200 if well else 503, fields={"X-Instance": self.name})
+            is_ready = self.state == "ready"
+            self._reply(writer=writer, status=200 if is_ready else 503, fields={"X-Instance": self.name})
         elif target == "/dockmux/report":
-            told = {
+            report = {
                 "phase": self.phase, "models": [{"name": "m", "gen": 1, "loras": []}], "busy": self.busy,
-                "seq": self.orders, "queued": 0, "active": self.active, "kv_used": 0, "kv_cap": 403008, "kvhs": 0,
+                "seq": self.order_count, "queued": 0, "active": self.active, "kv_used": 0, "kv_cap": 403008, "kvhs": 0,
             }  # fmt: skip
-            self._reply(writer=writer, status=200, body=json.dumps(told).encode())
+            self._reply(writer=writer, status=200, body=json.dumps(report).encode())
         elif target == "/dockmux/order":
-            self._order(fields=fields, body=body, writer=writer)
+            self._handle_order(fields=fields, body=body, writer=writer)
         elif target.startswith("/dockmux/kv-handle/"):
-            found = self.handles.pop(f"{self.address}/{target.rpartition('/')[2]}", None)
-            self._reply(writer=writer, status=200 if found else 404)
+            released = self.kv_handles.pop(f"{self.address}/{target.rpartition('/')[2]}", None)
+            self._reply(writer=writer, status=200 if released else 404)
         else:
-            await self._request(target=target, fields=fields, body=body, writer=writer)
+            await self._handle_request(target=target, fields=fields, body=body, writer=writer)
 
-    def _order(self, *, fields: dict[str, str], body: bytes, writer: asyncio.StreamWriter) -> None:
-        told = json.loads(body)
+    def _handle_order(self, *, fields: dict[str, str], body: bytes, writer: asyncio.StreamWriter) -> None:
+        order = json.loads(body)
         if fields.get("x-want-instance", self.name) != self.name:
             self._reply(writer=writer, status=421)
             return
-        self.history.orders.append(
-            Order(at=self.now(), engine=self.name, owner=told["owner"], fence=told["fence"], sender=told["owner"])
+        self.history.phase_orders.append(
+            PhaseOrder(
+                at=self.now(), engine=self.name, owner=order["owner"], fence=order["fence"], sender=order["owner"]
+            )
         )
-        if self.busy or told["fence"] < self.fence:
+        if self.busy or order["fence"] < self.fence:
             self._reply(writer=writer, status=409 if self.busy else 412)
             return
-        self.fence = told["fence"]
-        if told["phase"] == self.phase:
+        self.fence = order["fence"]
+        if order["phase"] == self.phase:
             self._reply(writer=writer, status=200)
             return
-        self.orders += 1
+        self.order_count += 1
         self.busy = True
-        self.changing = asyncio.ensure_future(self._change(phase=told["phase"]))
+        self.phase_change = asyncio.ensure_future(self._change_phase(phase=order["phase"]))
         self._reply(writer=writer, status=202)
 
-    async def _change(self, *, phase: str) -> None:
+    async def _change_phase(self, *, phase: str) -> None:
         while self.active:
             await asyncio.sleep(0.05)
-        await asyncio.sleep(SWAP_S)
+        await asyncio.sleep(PHASE_SWITCH_S)
         self.phase, self.busy = phase, False
 
-    async def _request(
+    async def _handle_request(
         self, *, target: str, fields: dict[str, str], body: bytes, writer: asyncio.StreamWriter
     ) -> None:  # fmt: skip
-        row = Arrival(
+        arrival = Arrival(
             at=self.now(), engine=self.name, service=self.service, request_id=fields.get("x-request-id", ""),
-            what="queued", target=target, body=body, last_event=int(fields.get("last-event-id", "0")),
+            outcome="queued", target=target, body=body, last_event=int(fields.get("last-event-id", "0")),
         )  # fmt: skip
-        self.history.arrivals.append(row)
-        refused = self._refused(row=row, fields=fields)
-        if refused:
-            row.what, row.status = str(refused), refused
-            promise = {} if refused == 421 else {"X-Not-Run": "1"}
-            self._reply(writer=writer, status=refused, fields={"X-Request-Id": row.request_id, **promise})
+        self.history.arrivals.append(arrival)
+        refusal = self._refusal_status(arrival=arrival, fields=fields)
+        if refusal:
+            arrival.outcome, arrival.status = str(refusal), refusal
+            not_run = {} if refusal == 421 else {"X-Not-Run": "1"}
+            self._reply(writer=writer, status=refusal, fields={"X-Request-Id": arrival.request_id, **not_run})
             return
         self.active += 1
         try:
             if fields.get("x-stage") == "prefill":
-                await self._read(row=row, fields=fields, writer=writer)
+                await self._prefill(arrival=arrival, fields=fields, writer=writer)
             else:
-                await self._run(row=row, fields=fields, writer=writer)
+                await self._generate(arrival=arrival, fields=fields, writer=writer)
         except BaseException:
-            row.broke = True
+            arrival.aborted = True
             raise
         finally:
             self.active -= 1
-            row.ended_at = self.now()
+            arrival.ended_at = self.now()
 
-    def _refused(self, *, row: Arrival, fields: dict[str, str]) -> int:
-        if not row.request_id:
+    def _refusal_status(self, *, arrival: Arrival, fields: dict[str, str]) -> int:
+        """The status with which the request is refused, 0 if it is accepted; takes the KV cache that it names."""
+        if not arrival.request_id:
             return 400
         if fields.get("x-want-instance", self.name) != self.name:
             return 421
@@ -223,58 +237,58 @@
             return 503
         if (fields.get("x-stage") == "prefill") != (self.phase == "prefill"):
             return 421
-        if self.grey == "turned away" and self.random.random() < GREY_SHARE:
+        if self.grey == "turned away" and self.rng.random() < GREY_FAULT_SHARE:
             return 503
         source = fields.get("x-kv-from")
         if source:
-            row.memory_of, lapses = self.handles.pop(source, ("", 0.0))
-            if lapses < self.now():
-                row.memory_of = ""
+            arrival.kv_cache_of, expires_at = self.kv_handles.pop(source, ("", 0.0))
+            if expires_at < self.now():
+                arrival.kv_cache_of = ""
                 return 503
         return 0
 
-    async def _read(self, *, row: Arrival, fields: dict[str, str], writer: asyncio.StreamWriter) -> None:
-        row.what = "read"
+    async def _prefill(self, *, arrival: Arrival, fields: dict[str, str], writer: asyncio.StreamWriter) -> None:
+        arrival.outcome = "prefill"
         tokens = int(fields.get("x-tokens", "100,1").partition(",")[0])
-        await asyncio.sleep(tokens / TOKENS_PER_MS / 1000)
-        handle = f"{self.random.getrandbits(48):012x}"
-        self.handles[f"{self.address}/{handle}"] = (row.request_id, self.now() + HANDLE_HOLD_S)
-        row.status = 200
-        told = json.dumps({"kvh": handle, "toks": tokens, "gen": 1}).encode()
-        self._reply(writer=writer, status=200, fields={"X-Request-Id": row.request_id}, body=told)
+        await asyncio.sleep(tokens / PREFILL_TOKENS_PER_MS / 1000)
+        handle = f"{self.rng.getrandbits(48):012x}"
+        self.kv_handles[f"{self.address}/{handle}"] = (arrival.request_id, self.now() + KV_HANDLE_HOLD_S)
+        arrival.status = 200
+        answer = json.dumps({"kvh": handle, "toks": tokens, "gen": 1}).encode()
+        self._reply(writer=writer, status=200, fields={"X-Request-Id": arrival.request_id}, body=answer)
 
-    async def _run(self, *, row: Arrival, fields: dict[str, str], writer: asyncio.StreamWriter) -> None:
-        row.what, row.status = "run", 200
-        sealed = {"X-Request-Id": row.request_id, "X-Seal": f"{self.name}.{row.request_id}"}
-        grey = self.grey if self.random.random() < GREY_SHARE else ""
+    async def _generate(self, *, arrival: Arrival, fields: dict[str, str], writer: asyncio.StreamWriter) -> None:
+        arrival.outcome, arrival.status = "run", 200
+        answer_fields = {"X-Request-Id": arrival.request_id, "X-Seal": f"{self.name}.{arrival.request_id}"}
+        grey = self.grey if self.rng.random() < GREY_FAULT_SHARE else ""
         if grey and grey not in ("cut in event", "turned away"):
-            row.broke = True
-            row.status = int(grey) if grey.isdigit() else 503 if grey == "bare 503" else 500
+            arrival.aborted = True
+            arrival.status = int(grey) if grey.isdigit() else 503 if grey == "bare 503" else 500
             bodies = {"failure with body": b'{"error": "out of memory"}', "failure like events": b"id: 9\ndata: x\n\n"}
-            self._reply(writer=writer, status=row.status, fields=sealed, body=bodies.get(grey, b""))
+            self._reply(writer=writer, status=arrival.status, fields=answer_fields, body=bodies.get(grey, b""))
             return
         count = int(fields.get("x-tokens", "100,1").partition(",")[2])
         if not count:
-            await asyncio.sleep(PLAIN_S)
-            data = plain_body(request_id=row.request_id, body=row.body)
-            self._reply(writer=writer, status=200, fields=sealed, body=data)
+            await asyncio.sleep(PLAIN_ANSWER_S)
+            data = plain_body(request_id=arrival.request_id, body=arrival.body)
+            self._reply(writer=writer, status=200, fields=answer_fields, body=data)
             return
-        rows = {"Content-Type": "text/event-stream", "Transfer-Encoding": "chunked", **sealed}
-        writer.write(self._head(status=200, fields=rows))
-        for number in range(row.last_event + 1, count + 1):
-            data = event(request_id=row.request_id, number=number)
-            if grey == "cut in event" and number > row.last_event + 2:
+        stream_fields = {"Content-Type": "text/event-stream", "Transfer-Encoding": "chunked", **answer_fields}
+        writer.write(self._head(status=200, fields=stream_fields))
+        for number in range(arrival.last_event + 1, count + 1):
+            data = event(request_id=arrival.request_id, number=number)
+            if grey == "cut in event" and number > arrival.last_event + 2:
                 writer.write(b"%x\r\n%s" % (len(data), data[:9]))
                 await writer.drain()
-                raise ConnectionAbortedError("cut in the middle of an event")
+                raise ConnectionAbortedError("injected fault: stream cut off within an event")
             writer.write(chunk(data=data))
             await writer.drain()
             await asyncio.sleep(EVENT_PAUSE_S)
         writer.write(chunk(data=b""))
 
     def _head(self, *, status: int, fields: dict[str, str]) -> bytes:
-        kept = {**fields, "Keep-Alive": f"timeout={KEEP_ALIVE_S}"}
-        return head_bytes(first=f"HTTP/1.1 {status} Status", fields=kept)
+        all_fields = {**fields, "Keep-Alive": f"timeout={KEEP_ALIVE_S}"}
+        return head_bytes(start_line=f"HTTP/1.1 {status} Status", fields=all_fields)
 
     def _reply(
         self, *, writer: asyncio.StreamWriter, status: int, fields: dict[str, str] | None = None, body: bytes = b""
--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -1,11 +1,17 @@
-"""What clients, engines, the platform and the operator saw in one soak run: all that its judge may use."""
+"""The history of one soak run, as recorded by its clients, engines, platform and operator: the judge's only input.
+
+Times (`at`, `until`, `..._at`) are seconds since the run began; 0 stands for "not yet" or "never".
+"""
 
 import dataclasses
 from enum import StrEnum
 
 
-class Kind(StrEnum):
-    """What a route lets happen to a request."""
+class RequestKind(StrEnum):
+    """The type of a route: whether its requests may be repeated and whether its answers are streams.
+
+    RESUMED is a stream that can be resumed after its last event, STREAM one that cannot. ONCE may run at most once.
+    """
 
     RESUMED = "resumed"
     STREAM = "stream"
@@ -14,66 +20,76 @@
 
     @property
     def repeatable(self) -> bool:
-        return self in (Kind.RESUMED, Kind.REPEATABLE)
+        return self in (RequestKind.RESUMED, RequestKind.REPEATABLE)
 
     @property
     def is_stream(self) -> bool:
-        return self in (Kind.RESUMED, Kind.STREAM)
+        return self in (RequestKind.RESUMED, RequestKind.STREAM)
 
 
 @dataclasses.dataclass(kw_only=True)
-class Try:
-    """One request of a client. Invariants: times are seconds since the run began; `sent_whole_at` is 0 while its last
-    byte was not handed over; `status` is 0 without a head; `whole` says that the answer came to its announced end;
-    `left_at` is when the client left of its own will, 0 if it stayed; `expected` is the right body of a success."""
+class ClientRequest:
+    """One request of a client; the resumption of a stream is a request of its own.
+
+    Invariants: `fully_sent_at` is 0 until the last byte has been written to the connection; `status` is 0 if no head
+    was received; `complete` says that the answer reached its announced end; `disconnected_at` is when the client chose
+    to disconnect, 0 if it did not; `expected` is the correct body of a success. `max_attempts` is the route's `tries`;
+    `surplus` holds bytes that followed the answer; `events` is the length of a stream, of which the first `last_event`
+    were received by an earlier request.
+    """
 
     request_id: str
     edge: str
-    kind: Kind
+    kind: RequestKind
     service: str
     target: str
     sent_body: bytes
     expected: bytes
-    tries: int
+    max_attempts: int
     sent_at: float
     deadline_s: float
-    kept: bool = False
-    sent_whole_at: float = 0.0
-    left_at: float = 0.0
+    on_reused_connection: bool = False
+    fully_sent_at: float = 0.0
+    disconnected_at: float = 0.0
     status: int = 0
     headers: dict[str, str] = dataclasses.field(default_factory=dict)
     body: bytes = b""
-    whole: bool = False
+    complete: bool = False
     ended_at: float = 0.0
     surplus: bytes = b""
     error: str = ""
     events: int = 0
     last_event: int = 0
-    late_route_at: float = 0.0
-    """When the version that added its route was acknowledged, where the route was added during the run."""
+    route_added_at: float = 0.0
+    """When the version that added its route was acknowledged; 0 if the route was not added during the run."""
 
 
 @dataclasses.dataclass(kw_only=True)
 class Arrival:
-    """One request at an engine. `what` is "run", "read" or the reason for which it was turned away; `status` is the
-    engine's own answer, 0 while it gave none; `broke` says that trouble of the engine ended the answer."""
+    """One request that reached an engine.
+
+    `outcome` is "queued" at first, then "run", "prefill" or the status of the engine's refusal as text. `status` is the
+    status of the engine's answer, 0 until there is one. `aborted` says that a fault of the engine ended the answer.
+    `kv_cache_of` is the request whose prefilled KV cache was used, empty if none was. `last_event` is the event after
+    which a stream is resumed.
+    """
 
     at: float
     engine: str
     service: str
     request_id: str
-    what: str
+    outcome: str
     target: str
     body: bytes
     last_event: int = 0
-    memory_of: str = ""
+    kv_cache_of: str = ""
     status: int = 0
     ended_at: float = 0.0
-    broke: bool = False
+    aborted: bool = False
 
 
-class TroubleKind(StrEnum):
-    """Troubles of a run; those before ENGINE_CRASH befall processes of the system, PLANNED are none."""
+class FaultKind(StrEnum):
+    """The faults and planned operations of a run. Those before ENGINE_CRASH concern processes of the system."""
 
     TERM = "SIGTERM"
     HUP = "SIGHUP"
@@ -90,25 +106,26 @@
     LIST_DOWN = "list down"
 
 
-PLANNED = (TroubleKind.TERM, TroubleKind.HUP)
+PLANNED_KINDS = (FaultKind.TERM, FaultKind.HUP)
+"""Planned operations: they excuse nothing that a fault would excuse."""
 
 
 @dataclasses.dataclass(kw_only=True)
-class Trouble:
-    """What befell whom, from when until when."""
+class Fault:
+    """A fault or planned operation at `target` (a process, an engine or "list") between two times."""
 
-    kind: TroubleKind
+    kind: FaultKind
     target: str
     at: float
     until: float
 
 
 @dataclasses.dataclass(kw_only=True)
-class Change:
-    """One order of an operator. `status` is its clear answer's, 0 without one."""
+class ConfigChange:
+    """One configuration change of the operator. `status` is that of a definite answer, 0 if there was none."""
 
     version: int
-    base: int
+    base_version: int
     valid: bool
     text: bytes
     sent_at: float
@@ -117,18 +134,18 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Read:
-    """One read of the configuration that was answered 200."""
+class ConfigRead:
+    """One read of the configuration that was answered 200; `is_final` marks the one at the end of the run."""
 
     sent_at: float
     version: int
     text: bytes
-    last: bool = False
+    is_final: bool = False
 
 
 @dataclasses.dataclass(kw_only=True)
-class Order:
-    """An order to change an engine's phase, as the engine got it; `sender` is an address."""
+class PhaseOrder:
+    """An order to change an engine's phase, as the engine received it; `sender` is an address."""
 
     at: float
     engine: str
@@ -138,8 +155,8 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Sample:
-    """What a process used at a moment."""
+class ResourceSample:
+    """The resident memory (KB) and open descriptors of a process at one time."""
 
     at: float
     process: str
@@ -148,51 +165,59 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Life:
-    """One life of a process. `ended_alone` says that nobody ended it."""
+class ProcessInstance:
+    """One process from its start to its exit. `exited_unexpectedly` says that the run did not end it."""
 
     process: str
-    began: float
+    started_at: float
     ready_at: float = 0.0
     ended_at: float = 0.0
-    code: int | None = None
-    ended_alone: bool = False
+    exit_code: int | None = None
+    exited_unexpectedly: bool = False
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Bounds:
-    """The figures of the pages that a run is judged by, in seconds but for the budget's."""
-
-    live: float = 3.0
-    ack: float = 4.0
-    drain: float = 3.0
-    grace: float = 8.0
-    slack: float = 0.2
-    apply: float = 2.0
-    lease: float = 3.0
-    thaw: float = 0.3
-    seed_lag: float = 3.0
-    list_lag: float = 0.8
+    """The bounds that a run is configured with and judged by, named as in the platform's settings.
+
+    live_s: for a process to recover from a fault or start. ack_s: until a change is acknowledged. drain_s: until a
+    leaving engine gets no new requests. grace_s: from SIGTERM to the kill. slack_s: an answer that ends later than this
+    after the request was sent shows that the edge had read the request. apply_s: until an acknowledged change is in
+    force. lease_s: between two senders of phase orders. seed_lag_s: until the seeds follow a replaced machine.
+    list_lag_s: the delay of the engine list. In any retry_window_s, retry_ratio x requests + retry_extra extra arrivals
+    are allowed. thaw_s is only configured, not judged.
+    """
+
+    live_s: float = 3.0
+    ack_s: float = 4.0
+    drain_s: float = 3.0
+    grace_s: float = 8.0
+    slack_s: float = 0.2
+    apply_s: float = 2.0
+    lease_s: float = 3.0
+    thaw_s: float = 0.3
+    seed_lag_s: float = 3.0
+    list_lag_s: float = 0.8
     retry_ratio: float = 0.2
-    retry_window: float = 10.0
+    retry_window_s: float = 10.0
     retry_extra: int = 54
 
 
 @dataclasses.dataclass(kw_only=True)
 class History:
-    """Invariant: each list is in the order of what began first."""
+    """Everything recorded in a run. Invariant: each list is ordered by when its rows began."""
 
     bounds: Bounds = dataclasses.field(default_factory=Bounds)
-    tries: list[Try] = dataclasses.field(default_factory=list)
+    requests: list[ClientRequest] = dataclasses.field(default_factory=list)
     arrivals: list[Arrival] = dataclasses.field(default_factory=list)
-    troubles: list[Trouble] = dataclasses.field(default_factory=list)
-    changes: list[Change] = dataclasses.field(default_factory=list)
-    reads: list[Read] = dataclasses.field(default_factory=list)
-    orders: list[Order] = dataclasses.field(default_factory=list)
-    samples: list[Sample] = dataclasses.field(default_factory=list)
-    lives: list[Life] = dataclasses.field(default_factory=list)
-    log_faults: list[str] = dataclasses.field(default_factory=list)
+    faults: list[Fault] = dataclasses.field(default_factory=list)
+    changes: list[ConfigChange] = dataclasses.field(default_factory=list)
+    config_reads: list[ConfigRead] = dataclasses.field(default_factory=list)
+    phase_orders: list[PhaseOrder] = dataclasses.field(default_factory=list)
+    samples: list[ResourceSample] = dataclasses.field(default_factory=list)
+    process_instances: list[ProcessInstance] = dataclasses.field(default_factory=list)
+    log_errors: list[str] = dataclasses.field(default_factory=list)
     ended_at: float = 0.0
 
-    def of(self, *, request_id: str) -> list[Arrival]:
-        return [row for row in self.arrivals if row.request_id == request_id]
+    def arrivals_of(self, *, request_id: str) -> list[Arrival]:
+        return [arrival for arrival in self.arrivals if arrival.request_id == request_id]
--- a/tests/soak/judge.py
+++ b/tests/soak/judge.py
@@ -1,376 +1,535 @@
-"""The rules, decided from a run's history alone, as the users' RULES, NEWS-18, NEWS-22 and NEWS-23 word them."""
+"""Judges one soak run: checks the rules of the platform against the run's history and nothing else.
+
+The rules are those that the platform states for its users (RULES, with the notices NEWS-18, NEWS-22 and NEWS-23). Each
+check yields one violation for each breach that it finds, under the name that the report prints. Times are seconds since
+the run began.
+"""
 
 import dataclasses
 from collections import defaultdict
 from collections.abc import Callable, Iterator
 
-from tests.soak.history import PLANNED, Arrival, History, Trouble, TroubleKind, Try
-
-PROMISES = (408, 421, 429, 503)
-# NEWS-22: a request sent no later may be cut if its engine was at work in the last sixth of the grace time.
-EXCUSED_AFTER_TERM_S = 3.0
-AFTER_CLOSE_S = 0.5
-A_FEW = 3
-# A process under load grows while it fills its tables; what is asked is that it does not go on doing so.
-MEMORY_SLOPE_KB_A_S = 512
-DESCRIPTOR_SLOPE_A_S = 5.0
-SAMPLES_FEWEST = 20
-# As the stand-in engines make them.
+from tests.soak.history import PLANNED_KINDS, Arrival, ClientRequest, Fault, FaultKind, History
+
+# Statuses by which a proxy states that the request has not been run.
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+# NEWS-22: a request that was sent no later than this after a SIGTERM may be cut off if its engine was still working on
+# it in the last sixth of the grace time.
+EXCUSED_AFTER_SIGTERM_S = 3.0
+# Time allowed for a client's disconnect to reach the engine.
+DISCONNECT_PROPAGATION_S = 0.5
+# Where single cases are no proof, a check reports only more cases than this.
+MAX_TOLERATED_CASES = 3
+# A process under load grows while it fills its tables, but must not go on growing: the bounds apply to the second half
+# of its samples.
+MAX_MEMORY_GROWTH_KB_PER_S = 512
+MAX_DESCRIPTOR_GROWTH_PER_S = 5.0
+MIN_SAMPLES = 20
+# The pause between two events of a stream in the simulated engines (engine.py).
 EVENT_PAUSE_S = 0.03
-READY_EVERY_S = 1.0
+# How often the platform polls an edge's readiness (machines.py).
+READINESS_INTERVAL_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Breach:
+class Violation:
+    """A breach of a rule. `rule` is its name in the report; `request_id` is empty where no single request shows it."""
+
     rule: str
-    what: str
+    detail: str
     request_id: str = ""
 
 
 @dataclasses.dataclass(kw_only=True)
-class Evidence:
-    """A history with what several rules look up. Invariant: `runs` are the arrivals that ran, by request."""
+class HistoryIndex:
+    """A history with the lookups that several checks share.
+
+    Invariant: `arrivals_by_id` and `requests_by_id` hold every arrival and every request of the history under its id.
+    """
 
     history: History
-    by_id: dict[str, list[Arrival]] = dataclasses.field(default_factory=lambda: defaultdict(list))
-    tries: dict[str, Try] = dataclasses.field(default_factory=dict)
+    arrivals_by_id: dict[str, list[Arrival]] = dataclasses.field(default_factory=lambda: defaultdict(list))
+    requests_by_id: dict[str, ClientRequest] = dataclasses.field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        for row in self.history.arrivals:
-            self.by_id[row.request_id].append(row)
-        self.tries = {row.request_id: row for row in self.history.tries}
+        for arrival in self.history.arrivals:
+            self.arrivals_by_id[arrival.request_id].append(arrival)
+        self.requests_by_id = {request.request_id: request for request in self.history.requests}
 
-    def runs(self, *, request_id: str) -> list[Arrival]:
-        return [row for row in self.by_id.get(request_id, []) if row.what == "run"]
+    def runs_of(self, *, request_id: str) -> list[Arrival]:
+        """The arrivals of a request that engines ran; prefills and refused arrivals are not among them."""
+        return [arrival for arrival in self.arrivals_by_id.get(request_id, []) if arrival.outcome == "run"]
 
-    def unplanned(self, *, targets: set[str], begin: float, end: float) -> list[Trouble]:
-        """Troubles that were not planned work, at any of the targets, between two moments."""
+    def unplanned_faults(self, *, targets: set[str], begin: float, end: float) -> list[Fault]:
+        """Faults at any of the targets that overlap the span, without planned operations (SIGTERM and SIGHUP)."""
         return [
-            row
-            for row in self.history.troubles
-            if row.kind not in PLANNED and row.target in targets and row.at <= end and row.until >= begin
+            fault
+            for fault in self.history.faults
+            if fault.kind not in PLANNED_KINDS and fault.target in targets and fault.at <= end and fault.until >= begin
         ]
 
-    def in_touch(self, *, process: str, at: float) -> bool:
-        """Whether the process and all of the core have been without any trouble for `live` seconds."""
-        live = self.history.bounds.live
+    def is_undisturbed(self, *, process: str, at: float) -> bool:
+        """Whether the process, the cores and the engine list have no fault and had none for `live_s` before."""
+        live_s = self.history.bounds.live_s
         return not any(
-            row.at <= at and row.until + live >= at
-            for row in self.history.troubles
-            if row.target == process or row.target.startswith("core") or row.kind is TroubleKind.LIST_DOWN
+            fault.at <= at and fault.until + live_s >= at
+            for fault in self.history.faults
+            if fault.target == process or fault.target.startswith("core") or fault.kind is FaultKind.LIST_DOWN
         )
 
 
-def mixed(seen: Evidence) -> Iterator[Breach]:
-    for row in seen.history.tries:
-        if row.surplus:
-            yield Breach(rule="MIXED", what=f"{row.surplus[:40]!r} behind its answer", request_id=row.request_id)
-        if not row.status:
+def check_answer_origin(index: HistoryIndex) -> Iterator[Violation]:
+    """MIXED: every answer belongs to its request, comes from an engine that ran it, and carries nothing else.
+
+    An answer with a seal names the engine that gave it. A KV cache is used only for the request it was prefilled for.
+    """
+    for request in index.history.requests:
+        if request.surplus:
+            yield Violation(
+                rule="MIXED", detail=f"{request.surplus[:40]!r} follows its answer", request_id=request.request_id
+            )
+        if not request.status:
             continue
-        runs = seen.runs(request_id=row.request_id)
-        engine = row.headers.get("x-seal", "").partition(".")[0]
-        if row.headers.get("x-seal") and engine not in {run.engine for run in runs}:
-            yield Breach(rule="MIXED", what=f"sealed by {engine}, which did not run it", request_id=row.request_id)
-        if 200 <= row.status < 300:
-            if not engine or row.headers.get("x-request-id") != row.request_id:
-                yield Breach(rule="MIXED", what="a success without its own seal and id", request_id=row.request_id)
-            if not row.kind.is_stream and row.whole and row.body != row.expected:
-                yield Breach(rule="MIXED", what="not the engine's whole body", request_id=row.request_id)
-        elif engine and row.status not in {run.status for run in runs}:
-            yield Breach(rule="MIXED", what=f"a sealed {row.status} that no engine gave", request_id=row.request_id)
-    for arrival in seen.history.arrivals:
-        if arrival.memory_of not in ("", arrival.request_id):
-            yield Breach(rule="MIXED", what=f"from the memory of {arrival.memory_of}", request_id=arrival.request_id)
-
-
-def order(seen: Evidence) -> Iterator[Breach]:
-    for row in seen.history.tries:
-        if not row.kind.is_stream or not 200 <= row.status < 300:
+        runs = index.runs_of(request_id=request.request_id)
+        engine = request.headers.get("x-seal", "").partition(".")[0]
+        if request.headers.get("x-seal") and engine not in {run.engine for run in runs}:
+            yield Violation(
+                rule="MIXED", detail=f"sealed by engine {engine}, which did not run it", request_id=request.request_id
+            )
+        if 200 <= request.status < 300:
+            if not engine or request.headers.get("x-request-id") != request.request_id:
+                yield Violation(
+                    rule="MIXED",
+                    detail="a success without a seal or with another request id",
+                    request_id=request.request_id,
+                )
+            if not request.kind.is_stream and request.complete and request.body != request.expected:
+                yield Violation(
+                    rule="MIXED", detail="the body differs from the engine's", request_id=request.request_id
+                )
+        elif engine and request.status not in {run.status for run in runs}:
+            yield Violation(
+                rule="MIXED", detail=f"a sealed {request.status} that no engine sent", request_id=request.request_id
+            )
+    for arrival in index.history.arrivals:
+        if arrival.kv_cache_of not in ("", arrival.request_id):
+            yield Violation(
+                rule="MIXED",
+                detail=f"run with the KV cache of request {arrival.kv_cache_of}",
+                request_id=arrival.request_id,
+            )
+
+
+def check_stream_order(index: HistoryIndex) -> Iterator[Violation]:
+    """ORDER: a stream is a prefix of the expected events, and all of them if it ends as complete."""
+    for request in index.history.requests:
+        if not request.kind.is_stream or not 200 <= request.status < 300:
             continue
-        if row.whole and row.body != row.expected:
-            what = f"ends as complete after {len(row.body)} of {len(row.expected)} bytes"
-            yield Breach(rule="ORDER", what=what, request_id=row.request_id)
-        elif not row.expected.startswith(row.body):
-            yield Breach(rule="ORDER", what="a piece is missing, doubled or another's", request_id=row.request_id)
+        if request.complete and request.body != request.expected:
+            detail = f"ends as complete after {len(request.body)} of {len(request.expected)} bytes"
+            yield Violation(rule="ORDER", detail=detail, request_id=request.request_id)
+        elif not request.expected.startswith(request.body):
+            yield Violation(
+                rule="ORDER",
+                detail="an event is missing, repeated or from another stream",
+                request_id=request.request_id,
+            )
 
 
-def unasked(seen: Evidence) -> Iterator[Breach]:
-    for arrival in seen.history.arrivals:
-        if arrival.what not in ("run", "read"):
+def check_arrivals_were_sent(index: HistoryIndex) -> Iterator[Violation]:
+    """UNASKED: engines run and prefill only what a client has fully sent, with the same target and body."""
+    for arrival in index.history.arrivals:
+        if arrival.outcome not in ("run", "prefill"):
             continue
-        row = seen.tries.get(arrival.request_id)
-        if row is None:
-            yield Breach(rule="UNASKED", what=f"{arrival.engine} runs what nobody sent", request_id=arrival.request_id)
-        elif (arrival.target, arrival.body) != (row.target, row.sent_body):
-            what = f"{arrival.engine} runs {len(arrival.body)} of {len(row.sent_body)} bytes, {arrival.target}"
-            yield Breach(rule="UNASKED", what=what, request_id=arrival.request_id)
-        elif not row.sent_whole_at:
-            yield Breach(rule="UNASKED", what="run before it was sent whole", request_id=arrival.request_id)
-
-
-def twice(seen: Evidence) -> Iterator[Breach]:
-    for row in seen.history.tries:
-        runs = seen.runs(request_id=row.request_id)
-        if not row.kind.repeatable and len(runs) > 1:
-            yield Breach(rule="TWICE", what=f"run {len(runs)} times", request_id=row.request_id)
-
-
-def refused(seen: Evidence) -> Iterator[Breach]:
-    for row in seen.history.tries:
-        if not row.kind.repeatable and row.status in PROMISES and seen.runs(request_id=row.request_id):
-            yield Breach(rule="REFUSED", what=f"{row.status} for one that ran", request_id=row.request_id)
-
-
-def lost(seen: Evidence) -> Iterator[Breach]:
-    """Around a SIGTERM of the machine that took the request."""
-    bounds = seen.history.bounds
-    told = [row for row in seen.history.troubles if row.kind is TroubleKind.TERM and row.target.startswith("edge")]
-    # A process that is told to stop once more goes by the first time.
-    terms = [
-        row
-        for row in told
-        if not any(other.target == row.target and other.at < row.at <= other.until for other in told)
+        request = index.requests_by_id.get(arrival.request_id)
+        if request is None:
+            yield Violation(
+                rule="UNASKED",
+                detail=f"{arrival.engine} runs a request that no client sent",
+                request_id=arrival.request_id,
+            )
+        elif (arrival.target, arrival.body) != (request.target, request.sent_body):
+            detail = f"{arrival.engine} runs {len(arrival.body)} of {len(request.sent_body)} bytes, {arrival.target}"
+            yield Violation(rule="UNASKED", detail=detail, request_id=arrival.request_id)
+        elif not request.fully_sent_at:
+            yield Violation(rule="UNASKED", detail="run before it was fully sent", request_id=arrival.request_id)
+
+
+def check_single_run(index: HistoryIndex) -> Iterator[Violation]:
+    """TWICE: a request that may not be repeated runs at most once."""
+    for request in index.history.requests:
+        runs = index.runs_of(request_id=request.request_id)
+        if not request.kind.repeatable and len(runs) > 1:
+            yield Violation(rule="TWICE", detail=f"run {len(runs)} times", request_id=request.request_id)
+
+
+def check_refusals(index: HistoryIndex) -> Iterator[Violation]:
+    """REFUSED: a request that may not be repeated gets one of NOT_RUN_STATUSES only if no engine ran it."""
+    for request in index.history.requests:
+        if (
+            not request.kind.repeatable
+            and request.status in NOT_RUN_STATUSES
+            and index.runs_of(request_id=request.request_id)
+        ):
+            yield Violation(
+                rule="REFUSED",
+                detail=f"status {request.status} for a request that an engine ran",
+                request_id=request.request_id,
+            )
+
+
+def check_lost_at_shutdown(index: HistoryIndex) -> Iterator[Violation]:
+    """LOST: an edge that gets SIGTERM still completes the requests it has read.
+
+    Judged are the requests that ended incomplete between the SIGTERM and 1 s after the grace time; `_loss_reason` lists
+    the cases that are excused.
+    """
+    bounds = index.history.bounds
+    sigterms = [
+        fault for fault in index.history.faults if fault.kind is FaultKind.TERM and fault.target.startswith("edge")
+    ]
+    # A second SIGTERM during a shutdown does not restart the grace time; the first one counts.
+    first_sigterms = [
+        fault
+        for fault in sigterms
+        if not any(other.target == fault.target and other.at < fault.at <= other.until for other in sigterms)
     ]
-    for row in seen.history.tries:
-        if row.whole or row.left_at or not row.sent_whole_at or not row.ended_at:
+    for request in index.history.requests:
+        if request.complete or request.disconnected_at or not request.fully_sent_at or not request.ended_at:
             continue
-        for term in terms:
-            if term.target != row.edge or not term.at <= row.ended_at <= term.at + bounds.grace + 1:
+        for sigterm in first_sigterms:
+            if sigterm.target != request.edge or not sigterm.at <= request.ended_at <= sigterm.at + bounds.grace_s + 1:
                 continue
-            reason = _lost(seen=seen, row=row, term=term)
+            reason = _loss_reason(index=index, request=request, sigterm=sigterm)
             if reason:
-                yield Breach(rule="LOST", what=reason, request_id=row.request_id)
-
-
-def closed_unanswered(seen: Evidence) -> Iterator[Breach]:
-    """LOST at any time: requests from kept connections that a sound engine had, and no answer."""
-    rows = []
-    for row in seen.history.tries:
-        runs = seen.runs(request_id=row.request_id)
-        if not row.kept or not runs or row.status or row.left_at or not row.ended_at:
+                yield Violation(rule="LOST", detail=reason, request_id=request.request_id)
+
+
+def check_unanswered_reused_connections(index: HistoryIndex) -> Iterator[Violation]:
+    """LOST at any time: requests on reused connections that engines without faults ran and that got no answer.
+
+    Only requests that ended before their deadline at an undisturbed edge count.
+    """
+    unanswered = []
+    for request in index.history.requests:
+        runs = index.runs_of(request_id=request.request_id)
+        if (
+            not request.on_reused_connection
+            or not runs
+            or request.status
+            or request.disconnected_at
+            or not request.ended_at
+        ):
             continue
-        troubled = seen.unplanned(targets={run.engine for run in runs}, begin=row.sent_at, end=row.ended_at)
-        timely = row.ended_at < row.sent_at + row.deadline_s
-        if timely and not troubled and seen.in_touch(process=row.edge, at=row.ended_at):
-            rows.append(row)
-    if len(rows) > A_FEW:
-        what = f"{len(rows)} kept connections closed without an answer"
-        yield Breach(rule="LOST", what=what, request_id=rows[0].request_id)
-
-
-def _lost(*, seen: Evidence, row: Try, term: Trouble) -> str:
-    bounds = seen.history.bounds
-    runs = seen.runs(request_id=row.request_id)
-    slack = row.ended_at > row.sent_whole_at + bounds.slack and row.status
-    if not runs and not slack:
-        # Nothing shows that it was read: it may have crossed the close.
+        faults = index.unplanned_faults(
+            targets={run.engine for run in runs}, begin=request.sent_at, end=request.ended_at
+        )
+        before_deadline = request.ended_at < request.sent_at + request.deadline_s
+        if before_deadline and not faults and index.is_undisturbed(process=request.edge, at=request.ended_at):
+            unanswered.append(request)
+    if len(unanswered) > MAX_TOLERATED_CASES:
+        detail = f"{len(unanswered)} reused connections closed without an answer"
+        yield Violation(rule="LOST", detail=detail, request_id=unanswered[0].request_id)
+
+
+def _loss_reason(*, index: HistoryIndex, request: ClientRequest, sigterm: Fault) -> str:
+    """Why an incomplete request counts as lost at this SIGTERM, or "" where it is excused.
+
+    Excused are requests that the edge may not have read, faults other than planned operations at the edge, the list or
+    the engines that ran the request, answers that the engine itself aborted, requests that reached their deadline, and
+    requests that NEWS-22 allows to be cut off: sent at most EXCUSED_AFTER_SIGTERM_S after the SIGTERM, with an engine
+    still working on them in the last sixth of the grace time.
+    """
+    bounds = index.history.bounds
+    runs = index.runs_of(request_id=request.request_id)
+    answered_after_slack = request.ended_at > request.fully_sent_at + bounds.slack_s and request.status
+    if not runs and not answered_after_slack:
+        # Nothing shows that the edge read it: it may have been sent while the edge closed the connection.
         return ""
-    targets = {row.edge, "list", *(run.engine for run in runs)}
-    if seen.unplanned(targets=targets, begin=row.sent_at - bounds.live, end=row.ended_at):
+    targets = {request.edge, "list", *(run.engine for run in runs)}
+    if index.unplanned_faults(targets=targets, begin=request.sent_at - bounds.live_s, end=request.ended_at):
         return ""
-    if any(run.broke for run in runs) or row.ended_at >= row.sent_at + row.deadline_s:
+    if any(run.aborted for run in runs) or request.ended_at >= request.sent_at + request.deadline_s:
         return ""
-    last_sixth = term.at + bounds.grace * 5 / 6
-    at_work = any(not run.ended_at or run.ended_at >= last_sixth for run in runs)
-    if row.sent_at <= term.at + EXCUSED_AFTER_TERM_S and at_work:
+    last_sixth_begins_at = sigterm.at + bounds.grace_s * 5 / 6
+    working_at_end = any(not run.ended_at or run.ended_at >= last_sixth_begins_at for run in runs)
+    if request.sent_at <= sigterm.at + EXCUSED_AFTER_SIGTERM_S and working_at_end:
         return ""
-    return f"sent {row.sent_at - term.at:.2f} s after SIGTERM, ended {row.ended_at - term.at:.2f} s after it, no answer"
+    return (
+        f"sent {request.sent_at - sigterm.at:.2f} s after SIGTERM, "
+        f"ended {request.ended_at - sigterm.at:.2f} s after it without a complete answer"
+    )
 
 
-def drain(seen: Evidence) -> Iterator[Breach]:
-    bounds = seen.history.bounds
-    leaving = {row.target: row.at for row in seen.history.troubles if row.kind is TroubleKind.ENGINE_LEAVES}
-    for arrival in seen.history.arrivals:
-        shown = leaving.get(arrival.engine, -1.0)
-        row = seen.tries.get(arrival.request_id)
-        if shown < 0 or row is None or arrival.at <= shown + bounds.list_lag + bounds.drain or arrival.what == "421":
+def check_drained_engines(index: HistoryIndex) -> Iterator[Violation]:
+    """DRAIN: an engine that the list shows as leaving gets no newer requests after `list_lag_s` and `drain_s`.
+
+    Arrivals that the engine refused with 421 don't count, nor do those from an edge that was not undisturbed.
+    """
+    bounds = index.history.bounds
+    leaving_since = {fault.target: fault.at for fault in index.history.faults if fault.kind is FaultKind.ENGINE_LEAVES}
+    for arrival in index.history.arrivals:
+        listed_leaving_at = leaving_since.get(arrival.engine, -1.0)
+        request = index.requests_by_id.get(arrival.request_id)
+        if (
+            listed_leaving_at < 0
+            or request is None
+            or arrival.at <= listed_leaving_at + bounds.list_lag_s + bounds.drain_s
+            or arrival.outcome == "421"
+        ):
             continue
-        if seen.in_touch(process=row.edge, at=arrival.at) and row.sent_at > shown:
-            what = f"{arrival.engine} got it {arrival.at - shown:.2f} s after the list showed it leaving"
-            yield Breach(rule="DRAIN", what=what, request_id=arrival.request_id)
+        if index.is_undisturbed(process=request.edge, at=arrival.at) and request.sent_at > listed_leaving_at:
+            detail = f"{arrival.engine} got it {arrival.at - listed_leaving_at:.2f} s after the list showed it leaving"
+            yield Violation(rule="DRAIN", detail=detail, request_id=arrival.request_id)
 
 
-def gone(seen: Evidence) -> Iterator[Breach]:
+def check_arrivals_after_disconnect(index: HistoryIndex) -> Iterator[Violation]:
+    """GONE: a request is not sent to an engine after its client has disconnected."""
     late = [
         arrival
-        for arrival in seen.history.arrivals
-        if (row := seen.tries.get(arrival.request_id)) is not None
-        and row.left_at
-        and arrival.at > row.left_at + AFTER_CLOSE_S
-        and seen.in_touch(process=row.edge, at=arrival.at)
+        for arrival in index.history.arrivals
+        if (request := index.requests_by_id.get(arrival.request_id)) is not None
+        and request.disconnected_at
+        and arrival.at > request.disconnected_at + DISCONNECT_PROPAGATION_S
+        and index.is_undisturbed(process=request.edge, at=arrival.at)
     ]
-    if len(late) > A_FEW:
-        what = f"{len(late)} requests reached an engine over {AFTER_CLOSE_S} s after their clients had left"
-        yield Breach(rule="GONE", what=what, request_id=late[0].request_id)
-
-
-def worked_on(seen: Evidence) -> Iterator[Breach]:
-    """GONE: engines that are still at work on streams whose clients have left."""
-    lasting, at_work = 0, []
-    for row in seen.history.tries:
-        if not row.left_at or not row.kind.is_stream or not seen.in_touch(process=row.edge, at=row.left_at + 1):
+    if len(late) > MAX_TOLERATED_CASES:
+        detail = f"{len(late)} requests reached an engine over {DISCONNECT_PROPAGATION_S} s after a client disconnect"
+        yield Violation(rule="GONE", detail=detail, request_id=late[0].request_id)
+
+
+def check_work_after_disconnect(index: HistoryIndex) -> Iterator[Violation]:
+    """GONE: an engine stops working on a stream whose client has disconnected.
+
+    Counted are runs that would have lasted for at least twice DISCONNECT_PROPAGATION_S after the disconnect; up to a
+    quarter of them may go on.
+    """
+    unfinished, at_work = 0, []
+    for request in index.history.requests:
+        if (
+            not request.disconnected_at
+            or not request.kind.is_stream
+            or not index.is_undisturbed(process=request.edge, at=request.disconnected_at + 1)
+        ):
             continue
-        for run in seen.runs(request_id=row.request_id):
-            would_end = run.at + (row.events - run.last_event) * EVENT_PAUSE_S
-            if run.at > row.left_at or would_end < row.left_at + 2 * AFTER_CLOSE_S:
+        for run in index.runs_of(request_id=request.request_id):
+            would_end = run.at + (request.events - run.last_event) * EVENT_PAUSE_S
+            if run.at > request.disconnected_at or would_end < request.disconnected_at + 2 * DISCONNECT_PROPAGATION_S:
                 continue
-            lasting += 1
-            if not run.ended_at or run.ended_at > row.left_at + AFTER_CLOSE_S:
-                at_work.append(row.request_id)
-    if len(at_work) > max(A_FEW, lasting / 4):
-        what = f"engines at work {AFTER_CLOSE_S} s after their clients left: {len(at_work)} of {lasting}"
-        yield Breach(rule="GONE", what=what, request_id=at_work[0])
-
-
-def budget(seen: Evidence) -> Iterator[Breach]:
-    bounds = seen.history.bounds
-    extras: dict[str, list[float]] = defaultdict(list)
-    asked: dict[str, list[float]] = defaultdict(list)
-    for row in seen.history.tries:
-        asked[row.service].append(row.sent_at)
-    for request_id, arrivals in seen.by_id.items():
-        row = seen.tries.get(request_id)
-        service = arrivals[0].service if row is None else row.service
-        reads = [arrival for arrival in arrivals if arrival.what == "read"]
-        others = [arrival for arrival in arrivals if arrival.what != "read"]
-        extras[service] += [arrival.at for arrival in [*reads[1:], *others[1:]]]
-    for service, times in extras.items():
+            unfinished += 1
+            if not run.ended_at or run.ended_at > request.disconnected_at + DISCONNECT_PROPAGATION_S:
+                at_work.append(request.request_id)
+    if len(at_work) > max(MAX_TOLERATED_CASES, unfinished / 4):
+        detail = (
+            f"runs that went on {DISCONNECT_PROPAGATION_S} s after a client disconnect: {len(at_work)} of {unfinished}"
+        )
+        yield Violation(rule="GONE", detail=detail, request_id=at_work[0])
+
+
+def check_retry_budget(index: HistoryIndex) -> Iterator[Violation]:
+    """BUDGET: the extra arrivals at a service stay within the retry budget, and a request within its attempts.
+
+    In each window of `retry_window_s` the extra arrivals may be `retry_ratio` of the requests plus `retry_extra`. The
+    requests are those of the same window, of the window before it, or of a span from half a window before it until 5 s
+    before its end, whichever are most. The first prefill and the first other arrival of a request are not extra. A
+    request may reach as many engines as it has attempts, without those that crashed.
+    """
+    bounds = index.history.bounds
+    extra_times: dict[str, list[float]] = defaultdict(list)
+    sent_times: dict[str, list[float]] = defaultdict(list)
+    for request in index.history.requests:
+        sent_times[request.service].append(request.sent_at)
+    for request_id, arrivals in index.arrivals_by_id.items():
+        request = index.requests_by_id.get(request_id)
+        service = arrivals[0].service if request is None else request.service
+        prefills = [arrival for arrival in arrivals if arrival.outcome == "prefill"]
+        others = [arrival for arrival in arrivals if arrival.outcome != "prefill"]
+        extra_times[service] += [arrival.at for arrival in [*prefills[1:], *others[1:]]]
+    for service, times in extra_times.items():
         times.sort()
         for end in times:
-            begin = end - bounds.retry_window
+            begin = end - bounds.retry_window_s
             count = sum(begin < at <= end for at in times)
-            spans = ((begin, end), (begin - bounds.retry_window, begin), (begin - bounds.retry_window / 2, end - 5.0))
-            requests = max(sum(first < at <= last for at in asked[service]) for first, last in spans)
-            if count > bounds.retry_ratio * requests + bounds.retry_extra:
-                yield Breach(rule="BUDGET", what=f"{service}: {count} extra arrivals for {requests} requests")
+            spans = (
+                (begin, end),
+                (begin - bounds.retry_window_s, begin),
+                (begin - bounds.retry_window_s / 2, end - 5.0),
+            )
+            request_count = max(sum(first < at <= last for at in sent_times[service]) for first, last in spans)
+            if count > bounds.retry_ratio * request_count + bounds.retry_extra:
+                yield Violation(rule="BUDGET", detail=f"{service}: {count} extra arrivals for {request_count} requests")
                 break
-    over = []
-    crashed = {row.target for row in seen.history.troubles if row.kind is TroubleKind.ENGINE_CRASH}
-    for row in seen.history.tries:
-        engines = {run.engine for run in seen.runs(request_id=row.request_id)} - crashed
-        if len(engines) > row.tries:
-            over.append(row.request_id)
-    if len(over) > A_FEW:
-        yield Breach(rule="BUDGET", what=f"{len(over)} requests on more engines than `tries`", request_id=over[0])
-
-
-def route(seen: Evidence) -> Iterator[Breach]:
-    for arrival in seen.history.arrivals:
-        row = seen.tries.get(arrival.request_id)
-        if row is not None and arrival.what in ("run", "read") and arrival.service != row.service:
-            what = f"{arrival.service} runs what belongs to {row.service}"
-            yield Breach(rule="ROUTE", what=what, request_id=arrival.request_id)
-
-
-def config(seen: Evidence) -> Iterator[Breach]:
-    history, bounds = seen.history, seen.history.bounds
-    taken = [change for change in history.changes if change.status == 200]
-    bases: dict[int, set[bytes]] = defaultdict(set)
-    for change in taken:
+    over_limit = []
+    crashed_engines = {fault.target for fault in index.history.faults if fault.kind is FaultKind.ENGINE_CRASH}
+    for request in index.history.requests:
+        engines = {run.engine for run in index.runs_of(request_id=request.request_id)} - crashed_engines
+        if len(engines) > request.max_attempts:
+            over_limit.append(request.request_id)
+    if len(over_limit) > MAX_TOLERATED_CASES:
+        yield Violation(
+            rule="BUDGET",
+            detail=f"{len(over_limit)} requests ran on more engines than `tries` allows",
+            request_id=over_limit[0],
+        )
+
+
+def check_service(index: HistoryIndex) -> Iterator[Violation]:
+    """ROUTE: a request reaches only engines of the service that its route names."""
+    for arrival in index.history.arrivals:
+        request = index.requests_by_id.get(arrival.request_id)
+        if request is not None and arrival.outcome in ("run", "prefill") and arrival.service != request.service:
+            detail = f"{arrival.service} runs a request for {request.service}"
+            yield Violation(rule="ROUTE", detail=detail, request_id=arrival.request_id)
+
+
+def check_configuration(index: HistoryIndex) -> Iterator[Violation]:
+    """CONFIG: only valid changes are acknowledged, one for each base version, and none is undone.
+
+    What is read back was sent under that version, and is not older than any version acknowledged over `apply_s` before;
+    after as long, an edge no longer answers 404 on a route that was added.
+    """
+    history, bounds = index.history, index.history.bounds
+    acknowledged = [change for change in history.changes if change.status == 200]
+    texts_by_base: dict[int, set[bytes]] = defaultdict(set)
+    for change in acknowledged:
         if not change.valid:
-            yield Breach(rule="CONFIG", what=f"invalid version {change.version} was acknowledged")
-        bases[change.base].add(change.text)
-    for base, texts in bases.items():
+            yield Violation(rule="CONFIG", detail=f"invalid version {change.version} was acknowledged")
+        texts_by_base[change.base_version].add(change.text)
+    for base, texts in texts_by_base.items():
         if len(texts) > 1:
-            yield Breach(rule="CONFIG", what=f"{len(texts)} changes on version {base} were acknowledged")
-    texts_of: dict[int, set[bytes]] = defaultdict(set)
+            yield Violation(rule="CONFIG", detail=f"{len(texts)} changes on version {base} were acknowledged")
+    sent_texts: dict[int, set[bytes]] = defaultdict(set)
     for change in history.changes:
-        texts_of[change.version].add(change.text)
-    for read in history.reads:
-        if read.text not in texts_of[read.version]:
-            yield Breach(rule="CONFIG", what=f"version {read.version} is not what was sent")
-        before = [row.version for row in taken if row.answered_at + bounds.apply < read.sent_at]
-        if before and read.version < max(before):
-            yield Breach(rule="CONFIG", what=f"read {read.version} after {max(before)} was acknowledged")
-    if taken and not any(read.last for read in history.reads):
-        yield Breach(rule="CONFIG", what="nothing could be read back at the end")
-    for row in history.tries:
-        late = row.late_route_at and row.sent_at > row.late_route_at + bounds.apply
-        if not late or row.status != 404 or _may_be_dropped(seen=seen, row=row):
+        sent_texts[change.version].add(change.text)
+    for read in history.config_reads:
+        if read.text not in sent_texts[read.version]:
+            yield Violation(rule="CONFIG", detail=f"version {read.version} differs from what was sent")
+        acknowledged_before = [
+            change.version for change in acknowledged if change.answered_at + bounds.apply_s < read.sent_at
+        ]
+        if acknowledged_before and read.version < max(acknowledged_before):
+            yield Violation(
+                rule="CONFIG", detail=f"read {read.version} after {max(acknowledged_before)} was acknowledged"
+            )
+    if acknowledged and not any(read.is_final for read in history.config_reads):
+        yield Violation(rule="CONFIG", detail="no configuration could be read back at the end")
+    for request in history.requests:
+        added_earlier = request.route_added_at and request.sent_at > request.route_added_at + bounds.apply_s
+        if not added_earlier or request.status != 404 or _may_be_removed(index=index, request=request):
             continue
-        if seen.in_touch(process=row.edge, at=row.sent_at):
-            yield Breach(rule="CONFIG", what="404 on a route that was added", request_id=row.request_id)
+        if index.is_undisturbed(process=request.edge, at=request.sent_at):
+            yield Violation(rule="CONFIG", detail="404 on a route that was added", request_id=request.request_id)
 
 
-def _may_be_dropped(*, seen: Evidence, row: Try) -> bool:
-    """Whether a change without the request's route had been sent by the time of its answer."""
-    prefix = b'"/%s/"' % row.target.split("/")[1].encode()
+def _may_be_removed(*, index: HistoryIndex, request: ClientRequest) -> bool:
+    """Whether a valid change without the request's route was sent before the request ended, so that 404 is correct."""
+    prefix = b'"/%s/"' % request.target.split("/")[1].encode()
     return any(
-        change.valid and row.late_route_at < change.sent_at <= row.ended_at and prefix not in change.text
-        for change in seen.history.changes
+        change.valid and request.route_added_at < change.sent_at <= request.ended_at and prefix not in change.text
+        for change in index.history.changes
     )
 
 
-def again_refused(seen: Evidence) -> Iterator[Breach]:
-    """CONFIG: what was acknowledged is sent again and refused."""
+def check_resent_changes(index: HistoryIndex) -> Iterator[Violation]:
+    """CONFIG: a change that was acknowledged is not refused when the operator sends it again."""
     acknowledged: dict[bytes, float] = {}
-    for change in seen.history.changes:
+    for change in index.history.changes:
         if 400 <= change.status < 500 and change.text in acknowledged and change.sent_at > acknowledged[change.text]:
-            yield Breach(rule="CONFIG", what=f"version {change.version} was taken, sent again and refused")
+            yield Violation(rule="CONFIG", detail=f"version {change.version} was acknowledged, sent again and refused")
         if change.status == 200:
             acknowledged.setdefault(change.text, change.answered_at)
 
 
-def acks(seen: Evidence) -> Iterator[Breach]:
-    """Nothing is acknowledged in a settled time."""
-    bounds = seen.history.bounds
-    for change in seen.history.changes:
-        end = change.answered_at or seen.history.ended_at
-        spans = [(row.at, row.until) for row in seen.history.troubles if row.target.startswith("core")]
-        spans += [(life.began, life.began) for life in seen.history.lives if life.process.startswith("core")]
-        calm = not any(at < end and until + bounds.live > change.sent_at for at, until in spans)
-        if change.valid and calm and end - change.sent_at > bounds.ack and change.status in (0, 200):
-            what = f"version {change.version} without acknowledgement for {end - change.sent_at:.1f} s"
-            yield Breach(rule="ACKS", what=what)
-
-
-def one(seen: Evidence) -> Iterator[Breach]:
-    bounds = seen.history.bounds
-    by_engine = defaultdict(list)
-    for row in seen.history.orders:
-        by_engine[row.engine].append(row)
-    for engine, rows in by_engine.items():
-        for before, after in zip(rows, rows[1:], strict=False):
+def check_acknowledgements(index: HistoryIndex) -> Iterator[Violation]:
+    """ACKS: a valid change is acknowledged within `ack_s` while no core has had a fault or start for `live_s`."""
+    bounds = index.history.bounds
+    for change in index.history.changes:
+        end = change.answered_at or index.history.ended_at
+        fault_spans = [(fault.at, fault.until) for fault in index.history.faults if fault.target.startswith("core")]
+        fault_spans += [
+            (instance.started_at, instance.started_at)
+            for instance in index.history.process_instances
+            if instance.process.startswith("core")
+        ]
+        undisturbed = not any(at < end and until + bounds.live_s > change.sent_at for at, until in fault_spans)
+        if change.valid and undisturbed and end - change.sent_at > bounds.ack_s and change.status in (0, 200):
+            detail = f"version {change.version} without acknowledgement for {end - change.sent_at:.1f} s"
+            yield Violation(rule="ACKS", detail=detail)
+
+
+def check_single_sender(index: HistoryIndex) -> Iterator[Violation]:
+    """ONE: phase orders to an engine come from one lease holder at a time.
+
+    Two senders never use the same fence, and the sender does not change within `lease_s`.
+    """
+    bounds = index.history.bounds
+    orders_by_engine = defaultdict(list)
+    for order in index.history.phase_orders:
+        orders_by_engine[order.engine].append(order)
+    for engine, orders in orders_by_engine.items():
+        for before, after in zip(orders, orders[1:], strict=False):
             if before.sender != after.sender and before.fence == after.fence:
-                yield Breach(rule="ONE", what=f"{engine}: two holders with fence {after.fence}")
-            elif before.sender != after.sender and after.at - before.at < bounds.lease:
-                yield Breach(rule="ONE", what=f"{engine}: holders take turns within {after.at - before.at:.2f} s")
-
-
-def processes(seen: Evidence) -> Iterator[Breach]:
-    """Apart from rules: ends of their own, slow starts, faults in logs, growth that goes on."""
-    for life in seen.history.lives:
-        if life.ended_alone:
-            yield Breach(rule="PROCESS", what=f"{life.process} ended by itself with {life.code}")
-    for line in seen.history.log_faults:
-        yield Breach(rule="LOG", what=line)
-    rows = defaultdict(list)
-    for sample in seen.history.samples:
-        rows[sample.process].append(sample)
-    for process, samples in rows.items():
-        half = samples[len(samples) // 2 :]
-        if len(samples) < SAMPLES_FEWEST:
+                yield Violation(rule="ONE", detail=f"{engine}: two senders with fence {after.fence}")
+            elif before.sender != after.sender and after.at - before.at < bounds.lease_s:
+                yield Violation(rule="ONE", detail=f"{engine}: the sender changed within {after.at - before.at:.2f} s")
+
+
+def check_processes(index: HistoryIndex) -> Iterator[Violation]:
+    """PROCESS, LOG, GROWTH: no process exits unexpectedly, logs an error or keeps growing.
+
+    These are not rules of the platform.
+    """
+    for instance in index.history.process_instances:
+        if instance.exited_unexpectedly:
+            yield Violation(
+                rule="PROCESS", detail=f"{instance.process} exited unexpectedly with code {instance.exit_code}"
+            )
+    for line in index.history.log_errors:
+        yield Violation(rule="LOG", detail=line)
+    samples_by_process = defaultdict(list)
+    for sample in index.history.samples:
+        samples_by_process[sample.process].append(sample)
+    for process, samples in samples_by_process.items():
+        second_half = samples[len(samples) // 2 :]
+        if len(samples) < MIN_SAMPLES:
             continue
-        times = [sample.at for sample in half]
-        memory = slope(times=times, values=[float(sample.rss_kb) for sample in half])
-        if memory > MEMORY_SLOPE_KB_A_S:
-            yield Breach(rule="GROWTH", what=f"{process}: memory grows by {memory:.0f} KB a second")
-        descriptors = slope(times=times, values=[float(sample.descriptors) for sample in half])
-        if descriptors > DESCRIPTOR_SLOPE_A_S:
-            yield Breach(rule="GROWTH", what=f"{process}: descriptors grow by {descriptors:.1f} a second")
-
-
-def starts(seen: Evidence) -> Iterator[Breach]:
-    """A start that takes longer than `live_ms`, while core and list are without trouble; readiness is asked each
-    second."""
-    live = seen.history.bounds.live
-    spans = [(row.at, row.until) for row in seen.history.troubles if row.target.startswith(("core", "list"))]
-    spans += [(life.began, life.began) for life in seen.history.lives if life.process.startswith("core")]
-    for life in seen.history.lives:
-        calm = not any(at < life.began + live and until + live > life.began for at, until in spans)
-        if calm and life.ready_at and life.ready_at - life.began > live + READY_EVERY_S:
-            yield Breach(
-                rule="START", what=f"{life.process} was ready {life.ready_at - life.began:.1f} s after its start"
+        times = [sample.at for sample in second_half]
+        memory_growth = slope(times=times, values=[float(sample.rss_kb) for sample in second_half])
+        if memory_growth > MAX_MEMORY_GROWTH_KB_PER_S:
+            yield Violation(rule="GROWTH", detail=f"{process}: memory_growth grows by {memory_growth:.0f} KB a second")
+        descriptor_growth = slope(times=times, values=[float(sample.descriptors) for sample in second_half])
+        if descriptor_growth > MAX_DESCRIPTOR_GROWTH_PER_S:
+            yield Violation(
+                rule="GROWTH", detail=f"{process}: descriptor_growth grow by {descriptor_growth:.1f} a second"
+            )
+
+
+def check_start_times(index: HistoryIndex) -> Iterator[Violation]:
+    """START: a process is ready within `live_s` of its start, while cores and list have no fault.
+
+    READINESS_INTERVAL_S is added because readiness is polled each second.
+    """
+    live_s = index.history.bounds.live_s
+    fault_spans = [
+        (fault.at, fault.until) for fault in index.history.faults if fault.target.startswith(("core", "list"))
+    ]
+    fault_spans += [
+        (instance.started_at, instance.started_at)
+        for instance in index.history.process_instances
+        if instance.process.startswith("core")
+    ]
+    for instance in index.history.process_instances:
+        undisturbed = not any(
+            at < instance.started_at + live_s and until + live_s > instance.started_at for at, until in fault_spans
+        )
+        if (
+            undisturbed
+            and instance.ready_at
+            and instance.ready_at - instance.started_at > live_s + READINESS_INTERVAL_S
+        ):
+            yield Violation(
+                rule="START",
+                detail=f"{instance.process} was ready {instance.ready_at - instance.started_at:.1f} s after its start",
             )
 
 
@@ -383,34 +542,41 @@
     return sum((at - mean_time) * (value - mean_value) for at, value in zip(times, values, strict=True)) / spread
 
 
-RULES: tuple[Callable[[Evidence], Iterator[Breach]], ...] = (
-    mixed, order, unasked, twice, refused, lost, budget, route, config, again_refused, processes,
+RULES: tuple[Callable[[HistoryIndex], Iterator[Violation]], ...] = (
+    check_answer_origin, check_stream_order, check_arrivals_were_sent, check_single_run, check_refusals,
+    check_lost_at_shutdown, check_retry_budget, check_service, check_configuration, check_resent_changes,
+    check_processes,
 )  # fmt: skip
-TIMED_RULES: tuple[Callable[[Evidence], Iterator[Breach]], ...] = (
-    drain, gone, worked_on, closed_unanswered, acks, one, starts,
+TIMED_RULES: tuple[Callable[[HistoryIndex], Iterator[Violation]], ...] = (
+    check_drained_engines, check_arrivals_after_disconnect, check_work_after_disconnect,
+    check_unanswered_reused_connections, check_acknowledgements, check_single_sender, check_start_times,
 )  # fmt: skip
-"""Whose bounds a machine that is busy with other work can break by itself."""
+"""Checks whose bounds can be exceeded merely because the host is busy with other work."""
 
 
-def judge(*, history: History, timed: bool = True) -> list[Breach]:
-    seen = Evidence(history=history)
+def judge(*, history: History, timed: bool = True) -> list[Violation]:
+    """All violations in a history; `timed` includes the checks of TIMED_RULES."""
+    index = HistoryIndex(history=history)
     rules = [*RULES, *TIMED_RULES] if timed else RULES
-    return [breach for rule in rules for breach in rule(seen)]
+    return [violation for rule in rules for violation in rule(index)]
 
 
-def trace(*, history: History, request_id: str) -> list[str]:
-    """Who took a request, which engines had it when, and what its client got."""
+def describe_request(*, history: History, request_id: str) -> list[str]:
+    """Lines for the report: which edge took a request, which engines had it when, and what its client received."""
     lines = []
-    for row in history.tries:
-        if row.request_id == request_id:
+    for request in history.requests:
+        if request.request_id == request_id:
             lines.append(
-                f"  {request_id} {row.kind} {row.target} at {row.edge}: sent {row.sent_at:.3f}, got {row.status} "
-                f"{'whole' if row.whole else 'broken'} {len(row.body)}/{len(row.expected)} bytes at {row.ended_at:.3f} "
-                f"{'left at ' + format(row.left_at, '.3f') if row.left_at else ''} {row.error}"
+                f"  {request_id} {request.kind} {request.target} at {request.edge}: "
+                f"sent {request.sent_at:.3f}, got {request.status} "
+                f"{'complete' if request.complete else 'incomplete'} {len(request.body)}/{len(request.expected)} bytes "
+                f"at {request.ended_at:.3f} "
+                f"{'disconnected at ' + format(request.disconnected_at, '.3f') if request.disconnected_at else ''} "
+                f"{request.error}"
             )
-    for row in history.of(request_id=request_id):
+    for arrival in history.arrivals_of(request_id=request_id):
         lines.append(
-            f"  {row.at:.3f} {row.engine} {row.what} from event {row.last_event}, status {row.status}, "
-            f"until {row.ended_at:.3f}{', broke' if row.broke else ''}"
+            f"  {arrival.at:.3f} {arrival.engine} {arrival.outcome} from event {arrival.last_event}, "
+            f"status {arrival.status}, until {arrival.ended_at:.3f}{', aborted' if arrival.aborted else ''}"
         )
     return lines
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -1,4 +1,8 @@
-"""What befalls a run, drawn from its seed: series that overlap, inside what the pages let be lost at once."""
+"""The plan of a run: faults drawn from its seed, in overlapping series.
+
+No more machines are lost at once than the platform's rules allow. The order of the random draws must not change, so
+that a seed keeps giving the same plan.
+"""
 
 import dataclasses
 import json
@@ -6,21 +10,26 @@
 from pathlib import Path
 
 from tests.soak.engine import GREY_KINDS
-from tests.soak.history import TroubleKind
+from tests.soak.history import FaultKind
 
-# A machine counts as lost for so long after its return, so the next one of the core may go only then.
-CORE_BACK_S = 5.0
-QUIET_END_S = 3.0
-STOP_MOST_S = 2.5
+# A core that has returned counts as lost for this long, so the next one may fail only after it.
+CORE_RECOVERY_S = 5.0
+# Time at the end of a run in which faults are not meant to begin.
+FINAL_QUIET_S = 3.0
+MAX_STOP_S = 2.5
 SERIES_GAP_S = 1.3
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Step:
-    """One trouble: when, what, whom (the number of an edge, a core or an engine), for how long, in which way."""
+    """One fault, or planned operation, of a plan.
+
+    `at` is in seconds since the clients began, `place` the number of the edge, core or engine, `for_s` the duration,
+    `how` the kind of a grey failure. The field names are those of the plan file.
+    """
 
     at: float
-    kind: TroubleKind
+    kind: FaultKind
     role: str
     place: int
     for_s: float = 0.0
@@ -29,6 +38,8 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Plan:
+    """A run's size and faults. The field names are those of the plan file. Invariant: `steps` are ordered by `at`."""
+
     seed: int
     seconds: float
     edges: int
@@ -36,32 +47,38 @@
     engines: int
     steps: tuple[Step, ...]
 
-    def text(self) -> str:
+    def to_json(self) -> str:
+        """The text of a plan file, which `load_plan` reads."""
         fields = dataclasses.asdict(self)
         return json.dumps(fields, indent=1)
 
-    def without(self, *, place: int) -> "Plan":
-        return dataclasses.replace(self, steps=self.steps[:place] + self.steps[place + 1 :])
+    def without(self, *, index: int) -> "Plan":
+        return dataclasses.replace(self, steps=self.steps[:index] + self.steps[index + 1 :])
 
-    def lines(self) -> list[str]:
+    def describe_steps(self) -> list[str]:
         return [
-            f"  {s.at:6.2f} s {s.kind} {s.role}-{s.place}{f' for {s.for_s:.1f} s' if s.for_s else ''} {s.how}".rstrip()
-            for s in self.steps
+            (
+                f"  {step.at:6.2f} s {step.kind} {step.role}-{step.place}"
+                f"{f' for {step.for_s:.1f} s' if step.for_s else ''} {step.how}"
+            ).rstrip()
+            for step in self.steps
         ]
 
 
-def load(*, path: Path) -> Plan:
+def load_plan(*, path: Path) -> Plan:
+    """Reads a plan file that was written with `Plan.to_json`."""
     fields = json.loads(path.read_text())
-    steps = tuple(Step(**{**row, "kind": TroubleKind(row["kind"])}) for row in fields.pop("steps"))
+    steps = tuple(Step(**{**row, "kind": FaultKind(row["kind"])}) for row in fields.pop("steps"))
     return Plan(**fields, steps=steps)
 
 
-def draw(*, seed: int, seconds: float, edges: int, cores: int, engines: int) -> Plan:
-    source = random.Random(f"soak-{seed}")
+def draw_plan(*, seed: int, seconds: float, edges: int, cores: int, engines: int) -> Plan:
+    """The plan of a seed; the same arguments always give the same plan."""
+    rng = random.Random(f"soak-{seed}")
     steps = [
-        *_edges(source=source, seconds=seconds, count=edges),
-        *_cores(source=source, seconds=seconds, count=cores),
-        *_engines(source=source, seconds=seconds, count=engines),
+        *_edge_steps(rng=rng, seconds=seconds, count=edges),
+        *_core_steps(rng=rng, seconds=seconds, count=cores),
+        *_engine_steps(rng=rng, seconds=seconds, count=engines),
     ]
     return Plan(
         seed=seed, seconds=seconds, edges=edges, cores=cores, engines=engines,
@@ -69,62 +86,63 @@
     )  # fmt: skip
 
 
-def _edges(*, source: random.Random, seconds: float, count: int) -> list[Step]:
-    """Series of signals to edges, one machine after the other, and single ones between them."""
+def _edge_steps(*, rng: random.Random, seconds: float, count: int) -> list[Step]:
+    """Series of signals to edges, one machine after the other, and sometimes the replacement of one edge."""
     steps = []
-    kinds = (TroubleKind.TERM, TroubleKind.TERM, TroubleKind.HUP, TroubleKind.KILL, TroubleKind.STOP)
+    kinds = (FaultKind.TERM, FaultKind.TERM, FaultKind.HUP, FaultKind.KILL, FaultKind.STOP)
     for _ in range(2 if seconds < 40 else 4):
-        kind = source.choice(kinds)
-        begin = source.uniform(1, max(seconds - QUIET_END_S - 8, 2))
-        gap = source.choice((0.1, SERIES_GAP_S, 3.0))
-        for place in source.sample(range(count), max(1, min(count, source.randrange(1, 5)))):
-            for_s = source.uniform(0.3, STOP_MOST_S) if kind is TroubleKind.STOP else 0.0
+        kind = rng.choice(kinds)
+        begin = rng.uniform(1, max(seconds - FINAL_QUIET_S - 8, 2))
+        gap = rng.choice((0.1, SERIES_GAP_S, 3.0))
+        for place in rng.sample(range(count), max(1, min(count, rng.randrange(1, 5)))):
+            for_s = rng.uniform(0.3, MAX_STOP_S) if kind is FaultKind.STOP else 0.0
             steps.append(Step(at=begin, kind=kind, role="edge", place=place, for_s=for_s))
             begin += gap
-    if source.random() < 0.3:
-        at, place = source.uniform(2, seconds * 0.6), source.randrange(count)
-        steps.append(Step(at=at, kind=TroubleKind.REPLACE, role="edge", place=place))
+    if rng.random() < 0.3:
+        at, place = rng.uniform(2, seconds * 0.6), rng.randrange(count)
+        steps.append(Step(at=at, kind=FaultKind.REPLACE, role="edge", place=place))
     return steps
 
 
-def _cores(*, source: random.Random, seconds: float, count: int) -> list[Step]:
-    """One core machine after the other, the next one when the last has counted as back for long."""
-    steps, at = [], source.uniform(1, 6)
-    kinds = (TroubleKind.TERM, TroubleKind.KILL, TroubleKind.STOP, TroubleKind.HUP, TroubleKind.REPLACE)
-    while at < seconds - QUIET_END_S - 3:
-        kind = source.choice(kinds)
-        for_s = source.uniform(0.5, 4.0) if kind is TroubleKind.STOP else 0.0
-        steps.append(Step(at=at, kind=kind, role="core", place=source.randrange(count), for_s=for_s))
-        at += for_s + CORE_BACK_S + source.uniform(1, 6)
+def _core_steps(*, rng: random.Random, seconds: float, count: int) -> list[Step]:
+    """Faults of one core after the other; the next one begins only when the last core counts as recovered."""
+    steps, at = [], rng.uniform(1, 6)
+    kinds = (FaultKind.TERM, FaultKind.KILL, FaultKind.STOP, FaultKind.HUP, FaultKind.REPLACE)
+    while at < seconds - FINAL_QUIET_S - 3:
+        kind = rng.choice(kinds)
+        for_s = rng.uniform(0.5, 4.0) if kind is FaultKind.STOP else 0.0
+        steps.append(Step(at=at, kind=kind, role="core", place=rng.randrange(count), for_s=for_s))
+        at += for_s + CORE_RECOVERY_S + rng.uniform(1, 6)
     return steps
 
 
-def _engines(*, source: random.Random, seconds: float, count: int) -> list[Step]:
+def _engine_steps(*, rng: random.Random, seconds: float, count: int) -> list[Step]:
+    """Faults of engines and their links, and sometimes an outage of the engine list."""
     steps = []
     kinds = (
-        TroubleKind.ENGINE_CRASH, TroubleKind.ENGINE_GREY, TroubleKind.ENGINE_GREY, TroubleKind.ENGINE_SILENT,
-        TroubleKind.ENGINE_LEAVES, TroubleKind.LINK_SLOW, TroubleKind.LINK_CUT, TroubleKind.LINK_RESET,
+        FaultKind.ENGINE_CRASH, FaultKind.ENGINE_GREY, FaultKind.ENGINE_GREY, FaultKind.ENGINE_SILENT,
+        FaultKind.ENGINE_LEAVES, FaultKind.LINK_SLOW, FaultKind.LINK_CUT, FaultKind.LINK_RESET,
     )  # fmt: skip
     for _ in range(max(3, round(seconds / 4))):
-        kind = source.choice(kinds)
-        how = source.choice(GREY_KINDS) if kind is TroubleKind.ENGINE_GREY else ""
-        for_s = 0.0 if kind is TroubleKind.LINK_RESET else source.uniform(0.5, 3.5)
-        at = source.uniform(1, seconds - QUIET_END_S)
-        steps.append(Step(at=at, kind=kind, role="engine", place=source.randrange(count), for_s=for_s, how=how))
+        kind = rng.choice(kinds)
+        how = rng.choice(GREY_KINDS) if kind is FaultKind.ENGINE_GREY else ""
+        for_s = 0.0 if kind is FaultKind.LINK_RESET else rng.uniform(0.5, 3.5)
+        at = rng.uniform(1, seconds - FINAL_QUIET_S)
+        steps.append(Step(at=at, kind=kind, role="engine", place=rng.randrange(count), for_s=for_s, how=how))
     for _ in range(max(2, round(seconds / 7))):
-        steps += _crash_beside_grey(source=source, seconds=seconds, count=count)
-    if source.random() < 0.4:
-        at, for_s = source.uniform(2, seconds * 0.7), source.uniform(1, 4)
-        steps.append(Step(at=at, kind=TroubleKind.LIST_DOWN, role="list", place=0, for_s=for_s))
+        steps += _crash_during_grey_failure(rng=rng, seconds=seconds, count=count)
+    if rng.random() < 0.4:
+        at, for_s = rng.uniform(2, seconds * 0.7), rng.uniform(1, 4)
+        steps.append(Step(at=at, kind=FaultKind.LIST_DOWN, role="list", place=0, for_s=for_s))
     return steps
 
 
-def _crash_beside_grey(*, source: random.Random, seconds: float, count: int) -> list[Step]:
-    """One engine fails a part of its requests while another one ends: what was there is taken up at the first."""
-    grey, crashing = source.sample(range(count), 2) if count > 1 else (0, 0)
-    at = source.uniform(1, max(seconds - QUIET_END_S - 4, 2))
-    how = source.choice(GREY_KINDS)
+def _crash_during_grey_failure(*, rng: random.Random, seconds: float, count: int) -> list[Step]:
+    """One engine fails part of its requests while another one crashes, whose requests it may receive."""
+    grey, crashing = rng.sample(range(count), 2) if count > 1 else (0, 0)
+    at = rng.uniform(1, max(seconds - FINAL_QUIET_S - 4, 2))
+    how = rng.choice(GREY_KINDS)
     return [
-        Step(at=at, kind=TroubleKind.ENGINE_GREY, role="engine", place=grey, for_s=3.5, how=how),
-        Step(at=at + 0.5, kind=TroubleKind.ENGINE_CRASH, role="engine", place=crashing, for_s=1.5),
+        Step(at=at, kind=FaultKind.ENGINE_GREY, role="engine", place=grey, for_s=3.5, how=how),
+        Step(at=at + 0.5, kind=FaultKind.ENGINE_CRASH, role="engine", place=crashing, for_s=1.5),
     ]
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,145 +1,150 @@
-"""One run: machines, clients and operator under a plan, and then the judge."""
+"""Plays one run: starts machines, clients and operator, injects the plan's faults, and returns the history."""
 
 import asyncio
 import contextlib
 import signal
 from collections.abc import AsyncIterator
 
-from tests.soak.changes import Changes
 from tests.soak.clients import Clients
-from tests.soak.history import History, TroubleKind
-from tests.soak.machines import CannotRun, Machines
+from tests.soak.config_operator import ConfigOperator
+from tests.soak.history import FaultKind, History
+from tests.soak.machines import Machines, SetupError
 from tests.soak.plan import Plan, Step
 
-READY_LIMIT_S = 40.0
-# Past the bound within which a start excuses anything.
+READY_TIMEOUT_S = 40.0
+# Longer than `live_s`, so that no start at the beginning excuses a violation.
 SETTLE_S = 3.5
-CLIENTS_AN_EDGE = 16
-OPEN_END_S = 9.0
-PUT_END_S = 5.0
-SIGNALS = {TroubleKind.HUP: signal.SIGHUP, TroubleKind.TERM: signal.SIGTERM, TroubleKind.KILL: signal.SIGKILL}
+CLIENTS_PER_EDGE = 16
+# After the clients are told to stop: how long open requests, then the last change, may take.
+OPEN_REQUESTS_TIMEOUT_S = 9.0
+CHANGE_TIMEOUT_S = 5.0
+SIGNALS = {FaultKind.HUP: signal.SIGHUP, FaultKind.TERM: signal.SIGTERM, FaultKind.KILL: signal.SIGKILL}
 
 
-class Troubles:
-    """Carries a plan's steps out."""
+class FaultInjector:
+    """Injects the faults of a plan and records each in the history."""
 
     def __init__(self, *, machines: Machines) -> None:
         self.machines = machines
 
-    async def carry_out(self, *, step: Step) -> None:
+    async def inject(self, *, step: Step) -> None:
+        """Injects one fault and returns when it is over."""
         if step.role == "engine":
-            await self._engine(step=step)
+            await self._inject_engine_fault(step=step)
         elif step.role == "list":
             self.machines.list_down = True
-            self.machines.trouble(kind=step.kind, target="list", for_s=step.for_s)
+            self.machines.record_fault(kind=step.kind, target="list", for_s=step.for_s)
             await asyncio.sleep(step.for_s)
             self.machines.list_down = False
         else:
-            await self._process(step=step)
+            await self._inject_process_fault(step=step)
 
-    def _name(self, *, step: Step) -> str:
-        """The machine that stands in the step's place now; replaced ones have others after them."""
+    def _machine_name(self, *, step: Step) -> str:
+        """The machine that the step's number refers to now; replacements come after the remaining machines."""
         names = [name for name in self.machines.ips if name.startswith(step.role)]
         return names[step.place % len(names)]
 
-    async def _process(self, *, step: Step) -> None:
-        machines, name = self.machines, self._name(step=step)
+    async def _inject_process_fault(self, *, step: Step) -> None:
+        machines, name = self.machines, self._machine_name(step=step)
         if name not in machines.processes or machines.processes[name].poll() is not None:
             return
-        if step.kind is TroubleKind.REPLACE:
-            await self._replace(name=name)
+        if step.kind is FaultKind.REPLACE:
+            await self._replace_machine(name=name)
             return
-        if step.kind is TroubleKind.STOP:
-            machines.trouble(kind=step.kind, target=name, for_s=step.for_s)
+        if step.kind is FaultKind.STOP:
+            machines.record_fault(kind=step.kind, target=name, for_s=step.for_s)
             machines.send_signal(name=name, number=signal.SIGSTOP)
             await asyncio.sleep(step.for_s)
             machines.send_signal(name=name, number=signal.SIGCONT)
             return
-        if step.kind is TroubleKind.HUP:
+        if step.kind is FaultKind.HUP:
             machines.write_settings(name=name)
         else:
-            machines.ended_by_us.add(name)
-        trouble = machines.trouble(kind=step.kind, target=name)
+            machines.expected_exits.add(name)
+        fault = machines.record_fault(kind=step.kind, target=name)
         process = machines.processes[name]
         machines.send_signal(name=name, number=SIGNALS[step.kind])
-        if step.kind is not TroubleKind.TERM:
+        if step.kind is not FaultKind.TERM:
             return
-        grace = machines.history.bounds.grace
-        while process.poll() is None and machines.now() < trouble.at + grace:
+        grace_s = machines.history.bounds.grace_s
+        while process.poll() is None and machines.now() < fault.at + grace_s:
             await asyncio.sleep(0.02)
-        trouble.until = machines.now()
+        fault.until = machines.now()
         if process.poll() is None:
             process.kill()
 
-    async def _replace(self, *, name: str) -> None:
-        """The machine is gone for good; an empty one comes at another address, and the seeds follow."""
+    async def _replace_machine(self, *, name: str) -> None:
+        """Kills a machine for good and starts an empty one at another address; the seeds follow after `seed_lag_s`."""
         machines = self.machines
         role = name.partition("-")[0]
-        machines.wanted.discard(name)
-        trouble = machines.trouble(kind=TroubleKind.REPLACE, target=name, for_s=machines.history.bounds.live)
+        machines.supervised.discard(name)
+        fault = machines.record_fault(kind=FaultKind.REPLACE, target=name, for_s=machines.history.bounds.live_s)
         machines.send_signal(name=name, number=signal.SIGKILL)
         machines.processes[name].wait()
-        machines.lives[name].ended_at = machines.now()
+        machines.instances[name].ended_at = machines.now()
         del machines.ips[name]
         number = machines.next_ip[role]
         machines.next_ip[role] += 1
-        fresh = f"{role}-{number}"
-        machines.ips[fresh] = f"{machines.net}.{number}"
-        machines.trouble(kind=TroubleKind.REPLACE, target=fresh, for_s=machines.history.bounds.live)
-        machines.start_process(name=fresh)
-        machines.wanted.add(fresh)
-        await asyncio.sleep(machines.history.bounds.seed_lag)
-        for other in list(machines.wanted):
+        replacement = f"{role}-{number}"
+        machines.ips[replacement] = f"{machines.subnet}.{number}"
+        machines.record_fault(kind=FaultKind.REPLACE, target=replacement, for_s=machines.history.bounds.live_s)
+        machines.start_process(name=replacement)
+        machines.supervised.add(replacement)
+        await asyncio.sleep(machines.history.bounds.seed_lag_s)
+        for other in list(machines.supervised):
             machines.write_settings(name=other)
             if role == "core":
-                machines.trouble(kind=TroubleKind.HUP, target=other)
+                machines.record_fault(kind=FaultKind.HUP, target=other)
                 machines.send_signal(name=other, number=signal.SIGHUP)
-        trouble.until = machines.now()
+        fault.until = machines.now()
 
-    async def _engine(self, *, step: Step) -> None:
+    async def _inject_engine_fault(self, *, step: Step) -> None:
         machines = self.machines
         place = step.place % len(machines.engines)
         engine = machines.engines[place]
         if engine.state != "ready" or engine.silent or engine.grey:
             return
-        trouble = machines.trouble(kind=step.kind, target=engine.name, for_s=step.for_s)
-        if step.kind is TroubleKind.ENGINE_GREY:
+        fault = machines.record_fault(kind=step.kind, target=engine.name, for_s=step.for_s)
+        if step.kind is FaultKind.ENGINE_GREY:
             engine.grey = step.how
             await asyncio.sleep(step.for_s)
             engine.grey = ""
-        elif step.kind is TroubleKind.ENGINE_SILENT:
+        elif step.kind is FaultKind.ENGINE_SILENT:
             engine.silent = True
             await asyncio.sleep(step.for_s)
             engine.silent = False
-        elif step.kind is TroubleKind.LINK_SLOW:
+        elif step.kind is FaultKind.LINK_SLOW:
             engine.link.delay_s = 0.15
             await asyncio.sleep(step.for_s)
             engine.link.delay_s = 0.0
-        elif step.kind is TroubleKind.LINK_CUT:
-            engine.link.deaf = True
+        elif step.kind is FaultKind.LINK_CUT:
+            engine.link.holds_requests = True
             await asyncio.sleep(step.for_s)
             engine.link.reset()
-            engine.link.deaf = False
-        elif step.kind is TroubleKind.LINK_RESET:
+            engine.link.holds_requests = False
+        elif step.kind is FaultKind.LINK_RESET:
             engine.link.reset()
-        elif step.kind is TroubleKind.ENGINE_LEAVES:
+        elif step.kind is FaultKind.ENGINE_LEAVES:
             engine.state = "draining"
-            await asyncio.sleep(machines.history.bounds.drain + step.for_s)
-            trouble.until = machines.now()
-            await self._end(place=place, down_s=1.0)
+            await asyncio.sleep(machines.history.bounds.drain_s + step.for_s)
+            fault.until = machines.now()
+            await self._restart_engine(place=place, down_s=1.0)
         else:
             engine.state = "crashed"
-            await self._end(place=place, down_s=step.for_s)
+            await self._restart_engine(place=place, down_s=step.for_s)
 
-    async def _end(self, *, place: int, down_s: float) -> None:
-        self.machines.engines[place].end()
+    async def _restart_engine(self, *, place: int, down_s: float) -> None:
+        self.machines.engines[place].shut_down()
         await asyncio.sleep(down_s)
-        await self.machines.next_life(place=place)
+        await self.machines.start_next_engine(place=place)
 
 
 @contextlib.asynccontextmanager
-async def started(*, machines: Machines) -> AsyncIterator[tuple[Clients, Changes]]:
-    """Machines and platform, a first configuration taken, every edge ready."""
+async def running_machines(*, machines: Machines) -> AsyncIterator[tuple[Clients, ConfigOperator]]:
+    """The fleet with the first configuration acknowledged and every edge ready; stops all processes at the end.
+
+    Raises SetupError if that takes too long.
+    """
     ip, _, port = machines.list_address.rpartition(":")
     server = await asyncio.start_server(machines.serve_list, ip, int(port))
     tasks: list[asyncio.Task[None]] = []
@@ -147,19 +152,19 @@
         for engine in machines.engines:
             await engine.start()
         for name in list(machines.ips):
-            machines.start_process(name=name, first=True)
-        tasks += [asyncio.create_task(work()) for work in (machines.keep_running, machines.watch_readiness)]
+            machines.start_process(name=name, is_first=True)
+        tasks += [asyncio.create_task(loop()) for loop in (machines.supervise, machines.watch_readiness)]
         clients = Clients(machines=machines)
-        changes = Changes(machines=machines, clients=clients)
-        if not await changes.found():
-            raise CannotRun("the first configuration was not taken")
-        end = machines.now() + READY_LIMIT_S
-        while len(machines.ready) < len(machines.edges):
+        operator = ConfigOperator(machines=machines, clients=clients)
+        if not await operator.put_first():
+            raise SetupError("the first configuration was not acknowledged")
+        end = machines.now() + READY_TIMEOUT_S
+        while len(machines.ready_edges) < len(machines.edges):
             if machines.now() > end:
-                raise CannotRun("not every edge became ready")
+                raise SetupError("not every edge became ready")
             await asyncio.sleep(0.2)
         await asyncio.sleep(SETTLE_S)
-        yield clients, changes
+        yield clients, operator
     finally:
         for task in tasks:
             task.cancel()
@@ -167,39 +172,40 @@
         machines.stop()
 
 
-async def play(*, plan: Plan) -> History:
+async def run_plan(*, plan: Plan) -> History:
+    """Plays a plan on a new fleet and returns what was recorded; raises SetupError if the run was not valid."""
     machines = Machines(plan=plan)
     try:
-        async with started(machines=machines) as (clients, changes):
-            await _under_troubles(machines=machines, plan=plan, clients=clients, changes=changes)
+        async with running_machines(machines=machines) as (clients, operator):
+            await _run_under_faults(machines=machines, plan=plan, clients=clients, operator=operator)
         machines.history.ended_at = machines.now()
-        machines.read_logs()
+        machines.collect_log_errors()
         return machines.history
     finally:
         machines.stop()
-        machines.clear()
+        machines.remove_folder()
 
 
-async def _under_troubles(*, machines: Machines, plan: Plan, clients: Clients, changes: Changes) -> None:
-    began = machines.now()
-    troubles = Troubles(machines=machines)
-    callers = [asyncio.create_task(clients.run_one()) for _ in range(CLIENTS_AN_EDGE * min(plan.edges, 8))]
-    others = [asyncio.create_task(changes.run()), asyncio.create_task(machines.sample())]
+async def _run_under_faults(*, machines: Machines, plan: Plan, clients: Clients, operator: ConfigOperator) -> None:
+    started_at = machines.now()
+    injector = FaultInjector(machines=machines)
+    client_tasks = [asyncio.create_task(clients.run_client()) for _ in range(CLIENTS_PER_EDGE * min(plan.edges, 8))]
+    other_tasks = [asyncio.create_task(operator.run()), asyncio.create_task(machines.sample_resources())]
     steps = []
     for step in plan.steps:
-        await asyncio.sleep(max(began + step.at - machines.now(), 0))
-        steps.append(asyncio.create_task(troubles.carry_out(step=step)))
-    await asyncio.sleep(max(began + plan.seconds - machines.now(), 0))
-    clients.ending = changes.ending = True
+        await asyncio.sleep(max(started_at + step.at - machines.now(), 0))
+        steps.append(asyncio.create_task(injector.inject(step=step)))
+    await asyncio.sleep(max(started_at + plan.seconds - machines.now(), 0))
+    clients.stopping = operator.stopping = True
     await asyncio.gather(*steps)
-    await asyncio.wait([*callers, others[0]], timeout=OPEN_END_S)
-    await asyncio.wait([others[0]], timeout=PUT_END_S)
-    end = machines.now() + 2 * machines.history.bounds.live + machines.history.bounds.ack
-    while not await changes.read(last=True) and machines.now() < end:
+    await asyncio.wait([*client_tasks, other_tasks[0]], timeout=OPEN_REQUESTS_TIMEOUT_S)
+    await asyncio.wait([other_tasks[0]], timeout=CHANGE_TIMEOUT_S)
+    end = machines.now() + 2 * machines.history.bounds.live_s + machines.history.bounds.ack_s
+    while not await operator.read(is_final=True) and machines.now() < end:
         await asyncio.sleep(0.3)
-    for task in [*callers, *others]:
+    for task in [*client_tasks, *other_tasks]:
         task.cancel()
-    results = await asyncio.gather(*callers, *others, return_exceptions=True)
-    faults = [repr(each) for each in results if isinstance(each, Exception)]
-    if faults:
-        raise CannotRun(f"a stand-in failed: {faults[0]}")
+    results = await asyncio.gather(*client_tasks, *other_tasks, return_exceptions=True)
+    errors = [repr(each) for each in results if isinstance(each, Exception)]
+    if errors:
+        raise SetupError(f"a client, the operator or the sampler failed: {errors[0]}")
--- a/tests/soak/soak_test.py
+++ b/tests/soak/soak_test.py
@@ -1,31 +1,31 @@
-"""A short soak with fixed seeds, judged by what a busy machine cannot break by itself."""
+"""A short soak with fixed seeds, judged without the checks that a busy host alone can fail."""
 
 import asyncio
 
 import pytest
 
-from tests.soak.judge import judge, trace
-from tests.soak.plan import draw, load
-from tests.soak.run import play
+from tests.soak.judge import describe_request, judge
+from tests.soak.plan import draw_plan, load_plan
+from tests.soak.run import run_plan
 
 SECONDS = 20.0
 
 
 @pytest.mark.parametrize("seed", (1, 2))
-def test_a_fixed_seed_holds(seed):
-    plan = draw(seed=seed, seconds=SECONDS, edges=3, cores=3, engines=5)
-    history = asyncio.run(play(plan=plan))
-    breaches = judge(history=history, timed=False)
-    shown = [(each, trace(history=history, request_id=each.request_id)) for each in breaches[:3]]
-    assert breaches == [], (shown, plan.lines())
-    assert sum(row.whole and row.status == 200 for row in history.tries) > 20
-
-
-def test_a_plan_is_the_same_for_the_same_seed_and_comes_back_from_its_file(tmp_path):
-    plan = draw(seed=7, seconds=30.0, edges=3, cores=3, engines=5)
-    assert plan == draw(seed=7, seconds=30.0, edges=3, cores=3, engines=5)
-    assert plan != draw(seed=8, seconds=30.0, edges=3, cores=3, engines=5)
+def test_fixed_seed_has_no_violations(seed):
+    plan = draw_plan(seed=seed, seconds=SECONDS, edges=3, cores=3, engines=5)
+    history = asyncio.run(run_plan(plan=plan))
+    violations = judge(history=history, timed=False)
+    details = [(each, describe_request(history=history, request_id=each.request_id)) for each in violations[:3]]
+    assert violations == [], (details, plan.describe_steps())
+    assert sum(row.complete and row.status == 200 for row in history.requests) > 20
+
+
+def test_plan_is_deterministic_and_survives_its_file(tmp_path):
+    plan = draw_plan(seed=7, seconds=30.0, edges=3, cores=3, engines=5)
+    assert plan == draw_plan(seed=7, seconds=30.0, edges=3, cores=3, engines=5)
+    assert plan != draw_plan(seed=8, seconds=30.0, edges=3, cores=3, engines=5)
     file = tmp_path / "plan.json"
-    file.write_text(plan.text())
-    assert load(path=file) == plan
-    assert len(plan.without(place=0).steps) == len(plan.steps) - 1
+    file.write_text(plan.to_json())
+    assert load_plan(path=file) == plan
+    assert len(plan.without(index=0).steps) == len(plan.steps) - 1
