--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -82,23 +82,23 @@
 
     async def _resume(self, *, request: ClientRequest) -> None:
         """Mostly resumes a stream that was cut off, after its last complete event, as a request of its own."""
-        cut = (
+        cut_off = (
             request.kind is RequestKind.RESUMED
             and request.status == 200
             and not request.complete
             and not request.disconnected_at
         )
-        if not cut or self.rng.random() > RESUME_SHARE:
+        if not cut_off or self.rng.random() > RESUME_SHARE:
             return
-        count = request.body.count(b"\n\n")
+        received = request.body.count(b"\n\n")
         resumed = self._draw_request(edge=self.rng.choice(self.machines.edges_in_rotation), on_reused_connection=False)
         total = resumed.expected.count(b"\n\n")
-        if resumed.kind is not RequestKind.RESUMED or count >= total:
+        if resumed.kind is not RequestKind.RESUMED or received >= total:
             resumed.kind, resumed.target = RequestKind.RESUMED, f"/{PATH_PREFIXES[RequestKind.RESUMED]}/a"
-            total = count + 20
-        resumed.last_event = count
+            total = received + 20
+        resumed.last_event = received
         resumed.events = total
-        resumed.expected = stream_body(request_id=resumed.request_id, count=total, after=count)
+        resumed.expected = stream_body(request_id=resumed.request_id, count=total, after=received)
         ip, _, port = self.machines.edge_address(name=resumed.edge).rpartition(":")
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
@@ -148,8 +148,8 @@
         in_chunks = self.rng.random() < 0.3
         fields |= {"Transfer-Encoding": "chunked"} if in_chunks else {"Content-Length": str(len(request.sent_body))}
         body = request.sent_body
-        step = 16_000
-        pieces = [body[at : at + step] for at in range(0, len(body), step)]
+        piece_size = 16_000
+        pieces = [body[at : at + piece_size] for at in range(0, len(body), piece_size)]
         if in_chunks:
             pieces = [*(chunk(data=piece) for piece in pieces), chunk(data=b"")]
         return [head_bytes(start_line=f"POST {request.target} HTTP/1.1", fields=fields), *pieces]
@@ -157,6 +157,7 @@
     async def _exchange(
         self, *, request: ClientRequest, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
+        """Sends the request and receives its answer; some clients disconnect in between, some read late."""
         request.sent_at = self.machines.now()
         disconnect_in = self.rng.choice(("head", "body", "answer")) if self.rng.random() < DISCONNECT_SHARE else ""
         slow = self.rng.random() < SLOW_READER_SHARE
--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -89,7 +89,10 @@
 
 
 class FaultKind(StrEnum):
-    """The faults and planned operations of a run. Those before ENGINE_CRASH concern processes of the system."""
+    """The faults and planned operations of a run. Those before ENGINE_CRASH concern cores and edges.
+
+    The values are those of the plan file and the report.
+    """
 
     TERM = "SIGTERM"
     HUP = "SIGHUP"
@@ -106,8 +109,8 @@
     LIST_DOWN = "list down"
 
 
+# Planned operations: a request that is lost during one is not excused, as it is during a fault.
 PLANNED_KINDS = (FaultKind.TERM, FaultKind.HUP)
-"""Planned operations: they excuse nothing that a fault would excuse."""
 
 
 @dataclasses.dataclass(kw_only=True)
--- a/tests/soak/judge.py
+++ b/tests/soak/judge.py
@@ -61,7 +61,7 @@
         return [arrival for arrival in self.arrivals_by_id.get(request_id, []) if arrival.outcome == "run"]
 
     def unplanned_faults(self, *, targets: set[str], begin: float, end: float) -> list[Fault]:
-        """Faults at any of the targets that overlap the span, without planned operations (SIGTERM and SIGHUP)."""
+        """Faults at any of the targets that overlap the span; planned operations (SIGTERM, SIGHUP) don't count."""
         return [
             fault
             for fault in self.history.faults
@@ -69,7 +69,10 @@
         ]
 
     def is_undisturbed(self, *, process: str, at: float) -> bool:
-        """Whether the process, the cores and the engine list have no fault and had none for `live_s` before."""
+        """Whether the process, the cores and the engine list have no fault and had none for `live_s` before.
+
+        Planned operations count as faults here.
+        """
         live_s = self.history.bounds.live_s
         return not any(
             fault.at <= at and fault.until + live_s >= at
@@ -405,7 +408,7 @@
         if read.text not in sent_texts[read.version]:
             yield Violation(rule="CONFIG", detail=f"version {read.version} differs from what was sent")
         acknowledged_before = [
-            change.version for change in acknowledged if change.answered_at + bounds.apply_s < read.sent_at
+            earlier.version for earlier in acknowledged if earlier.answered_at + bounds.apply_s < read.sent_at
         ]
         if acknowledged_before and read.version < max(acknowledged_before):
             yield Violation(
@@ -432,12 +435,16 @@
 
 def check_resent_changes(index: HistoryIndex) -> Iterator[Violation]:
     """CONFIG: a change that was acknowledged is not refused when the operator sends it again."""
-    acknowledged: dict[bytes, float] = {}
+    acknowledged_at: dict[bytes, float] = {}
     for change in index.history.changes:
-        if 400 <= change.status < 500 and change.text in acknowledged and change.sent_at > acknowledged[change.text]:
+        if (
+            400 <= change.status < 500
+            and change.text in acknowledged_at
+            and change.sent_at > acknowledged_at[change.text]
+        ):
             yield Violation(rule="CONFIG", detail=f"version {change.version} was acknowledged, sent again and refused")
         if change.status == 200:
-            acknowledged.setdefault(change.text, change.answered_at)
+            acknowledged_at.setdefault(change.text, change.answered_at)
 
 
 def check_acknowledgements(index: HistoryIndex) -> Iterator[Violation]:
@@ -496,12 +503,10 @@
         times = [sample.at for sample in second_half]
         memory_growth = slope(times=times, values=[float(sample.rss_kb) for sample in second_half])
         if memory_growth > MAX_MEMORY_GROWTH_KB_PER_S:
-            yield Violation(rule="GROWTH", detail=f"{process}: memory_growth grows by {memory_growth:.0f} KB a second")
+            yield Violation(rule="GROWTH", detail=f"{process}: memory grows by {memory_growth:.0f} KB a second")
         descriptor_growth = slope(times=times, values=[float(sample.descriptors) for sample in second_half])
         if descriptor_growth > MAX_DESCRIPTOR_GROWTH_PER_S:
-            yield Violation(
-                rule="GROWTH", detail=f"{process}: descriptor_growth grow by {descriptor_growth:.1f} a second"
-            )
+            yield Violation(rule="GROWTH", detail=f"{process}: descriptors grow by {descriptor_growth:.1f} a second")
 
 
 def check_start_times(index: HistoryIndex) -> Iterator[Violation]:
--- a/tests/soak/judge_test.py
+++ b/tests/soak/judge_test.py
@@ -32,8 +32,8 @@
     row = ClientRequest(
         request_id=REQUEST_ID, edge=EDGE, kind=kind, service="desk", target="/write/a", sent_body=b"x",
         expected=expected, max_attempts=2, sent_at=20.0, fully_sent_at=20.01, deadline_s=8.0, status=200,
-        body=expected, complete=True, ended_at=20.5,
-        headers={"x-seal": f"{ENGINE}.{REQUEST_ID}", "x-request-id": REQUEST_ID},
+        body=expected, complete=True,
+        headers={"x-seal": f"{ENGINE}.{REQUEST_ID}", "x-request-id": REQUEST_ID}, ended_at=20.5,
     )  # fmt: skip
     return dataclasses.replace(row, **fields)
 
@@ -79,8 +79,8 @@
 def cut_off_after_sigterm(**fields: object) -> History:
     """A request that an engine ran, cut off when the edge exited 7.3 s after its SIGTERM."""
     row = request(complete=False, body=b"", sent_at=24.0, fully_sent_at=24.01, ended_at=27.3, error="reset", **fields)
-    terms = [fault(kind=FaultKind.TERM, target=EDGE, at=20.0, for_s=7.3)]
-    return history(requests=[row], arrivals=[arrival(at=24.1, ended_at=28.0)], faults=terms)
+    sigterms = [fault(kind=FaultKind.TERM, target=EDGE, at=20.0, for_s=7.3)]
+    return history(requests=[row], arrivals=[arrival(at=24.1, ended_at=28.0)], faults=sigterms)
 
 
 def many_requests(*, count: int, **fields: object) -> tuple[list[ClientRequest], list[Arrival]]:
@@ -259,10 +259,10 @@
         )
     ) == {"PROCESS"}
     assert broken_rules(example=history(log_errors=["edge-0.log: Traceback"])) == {"LOG"}
-    rows = [ResourceSample(at=at, process=EDGE, rss_kb=50_000 + 1000 * at, descriptors=20) for at in range(40)]
-    assert broken_rules(example=history(samples=rows)) == {"GROWTH"}
-    rows = [ResourceSample(at=at, process=EDGE, rss_kb=50_000, descriptors=20 + 10 * at) for at in range(40)]
-    assert broken_rules(example=history(samples=rows)) == {"GROWTH"}
+    samples = [ResourceSample(at=at, process=EDGE, rss_kb=50_000 + 1000 * at, descriptors=20) for at in range(40)]
+    assert broken_rules(example=history(samples=samples)) == {"GROWTH"}
+    samples = [ResourceSample(at=at, process=EDGE, rss_kb=50_000, descriptors=20 + 10 * at) for at in range(40)]
+    assert broken_rules(example=history(samples=samples)) == {"GROWTH"}
 
 
 def test_starts():
