--- a/dockmux/platform_proxy/request_table.py
+++ b/dockmux/platform_proxy/request_table.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Iterator
 from datetime import timedelta
 
-from dockmux.native_proxy.tally import Concluded, Tally
+from dockmux.native_proxy.outcome_counts import OutcomeCounts, RequestEnded
 from dockmux.platform_proxy.budget import Budget
 from dockmux.platform_proxy.config_tracker import ConfigTracker
 from dockmux.platform_proxy.directory import Directory
@@ -46,8 +46,8 @@
         self.engine_health = engine_health
         self.budget = budget
         self.records: dict[int, RequestRecord] = {}
-        self.tally = Tally()
-        self.journal = EventJournal(projections=[self.tally])
+        self.outcome_counts = OutcomeCounts()
+        self.journal = EventJournal(projections=[self.outcome_counts])
         self.shutdown: Shutdown | None = None
         self.last_key = 0
 
@@ -58,8 +58,8 @@
 
     def outcomes(self) -> dict[str, int]:
         """Number of finished requests by outcome kind."""
-        self.journal.fold(projection=self.tally)
-        return dict(self.tally.counts)
+        self.journal.fold(projection=self.outcome_counts)
+        return dict(self.outcome_counts.counts)
 
     def begin_shutdown(self, *, shutdown: Shutdown) -> None:
         """Admits only requests that end in time from now on, and gives open requests the shutdown's time limit."""
@@ -153,7 +153,7 @@
         return self._run(exchange=exchange, record=record)
 
     def _refuse(self, *, exchange: HttpExchange, kind: OutcomeKind, reason: str) -> list[bytes]:
-        self.journal.append(event=Concluded(kind=kind))
+        self.journal.append(event=RequestEnded(kind=kind))
         outcome = Outcome(kind=kind, detail={"why": reason}, retry_ms=to_ms(DEFAULT_RETRY_AFTER))
         return exchange.respond(outcome=outcome, fractional_seconds=True)
 
@@ -169,7 +169,7 @@
                     yield part
         except GeneratorExit:
             # A write to the client's connection failed: the client has disconnected.
-            self.journal.append(event=Concluded(kind=OutcomeKind.CLIENT_LEFT))
+            self.journal.append(event=RequestEnded(kind=OutcomeKind.CLIENT_LEFT))
             raise
         finally:
             del self.records[record.key]
@@ -177,7 +177,7 @@
     def _finish(self, *, exchange: HttpExchange, completion: Completion) -> list[bytes]:
         """The rest of the client's answer. TruncatedAnswer where the answer has begun: then only a closed connection
         can show the client that it is incomplete."""
-        self.journal.append(event=Concluded(kind=completion.kind))
+        self.journal.append(event=RequestEnded(kind=completion.kind))
         if completion.kind is OutcomeKind.ANSWERED:
             return []
         if completion.truncated:
--- a/tests/control/core_cluster.py
+++ b/tests/control/core_cluster.py
@@ -160,7 +160,7 @@
 
 @contextmanager
 def core_cluster(*, seed: int, count: int = 3, survive: int = 1) -> Iterator[CoreCluster]:
-    with World(seed=seed, linkUs=700).open() as world:
+    with World(seed=seed, link_us=700).open() as world:
         cluster = CoreCluster(world=world, count=count, survive=survive)
         cluster.start_all()
         yield cluster
