--- a/dockmux/cli/__init__.py
+++ b/dockmux/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line."""
+"""Command line for the operators of a fleet."""
