--- a/dockmux/load_generator/__init__.py
+++ b/dockmux/load_generator/__init__.py
@@ -1,1 +1,1 @@
-"""The load generator."""
+"""Open-loop load generator that checks every answer stream."""
--- a/dockmux/load_generator/client.py
+++ b/dockmux/load_generator/client.py
@@ -1,4 +1,4 @@
-"""One user agent's request, sent and checked piece by piece."""
+"""HTTP client for one request: sends it and checks its answer stream piece by piece."""
 
 import dataclasses
 import hashlib
@@ -11,14 +11,17 @@
 from dockmux.runtime.host import Host, time_limit
 from dockmux.runtime.http_transport import HttpClientConnection
 
-CONNECT_LIMIT = timedelta(seconds=2)
-OVERTIME = timedelta(seconds=3)
+CONNECT_TIMEOUT = timedelta(seconds=2)
+# Time after the horizon within which every request must have an outcome.
+OUTCOME_GRACE = timedelta(seconds=3)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LoadRequest:
-    """What is to be sent. Invariants: `answers` holds every whole answer that is right, one for each model and adapter
-    that the lane may have; `numbered` says that the user agent tells which of its attempts this is."""
+    """A request to send to `edge`, the address of a proxy.
+
+    Invariants: `answers` holds every correct complete answer as a list of pieces, one for each model and adapter that
+    the lane may be configured with; if `sends_attempt_number` is set, the client sends the number of each attempt."""
 
     lane: str
     identity: str
@@ -26,15 +29,18 @@
     answers: list[list[str]]
     horizon: timedelta
     edge: str
-    numbered: bool = True
+    sends_attempt_number: bool = True
 
 
 @dataclasses.dataclass(kw_only=True)
 class Attempt:
-    """What came of it. Invariants: times are since the run's start, `intended` is when it was to be sent, whether
-    or not it could be; `attempt` counts from 1; `fits` holds the places of the answers that every piece so far is of,
-    those of the attempts that this one goes on from included; `wrong` names every breach of the promise that the
-    stream itself shows."""
+    """One attempt at a request, with its result.
+
+    Invariants: times are relative to the start of the run; `intended` is the time at which the attempt was scheduled,
+    even if it was sent later; `number` counts from 1; `resume_from` is the number of pieces received by the attempts
+    that this one resumes; `matching_answers` holds the indexes of the answers that agree with every piece so far,
+    including the pieces of those attempts; `violations` describes every violation of the protocol that the stream
+    itself shows."""
 
     lane: str
     identity: str
@@ -46,102 +52,106 @@
     ended: timedelta | None = None
     count: int = 0
     complete: bool = False
-    retryMs: int = 0
-    attempt: int = 1
-    start: int = 0
-    answer: str = ""
-    fits: list[int] | None = None
+    retry_ms: int = 0
+    number: int = 1
+    resume_from: int = 0
+    answer_id: str = ""
+    matching_answers: list[int] | None = None
     detail: dict[str, Any] = dataclasses.field(default_factory=dict)
-    wrong: list[str] = dataclasses.field(default_factory=list)
+    violations: list[str] = dataclasses.field(default_factory=list)
+
 
+def send(*, host: Host, request: LoadRequest, attempt: Attempt, since: timedelta) -> None:
+    """Sends one request, starting at piece `attempt.resume_from`, and reads its stream to the end.
 
-def send(*, host: Host, ask: LoadRequest, seen: Attempt, since: timedelta) -> None:
-    """Sends one request, from piece `seen.start` on, and reads its stream to the end; what is seen goes into `seen`."""
-    seen.count = seen.start
-    if seen.fits is None:
-        seen.fits = list(range(len(ask.answers)))
+    Results are stored in `attempt`; `since` is the start of the run on the host's clock."""
+    attempt.count = attempt.resume_from
+    if attempt.matching_answers is None:
+        attempt.matching_answers = list(range(len(request.answers)))
     try:
         with (
-            time_limit(wait=ask.horizon + OVERTIME),
-            HttpClientConnection(host=host, address=ask.edge, wait=CONNECT_LIMIT) as stream,
+            time_limit(wait=request.horizon + OUTCOME_GRACE),
+            HttpClientConnection(host=host, address=request.edge, wait=CONNECT_TIMEOUT) as stream,
         ):
             try:
                 stream.connect()
             except (OSError, urllib3.exceptions.HTTPError):
-                seen.kind = "unreachable"
+                attempt.kind = "unreachable"
                 return
-            seen.kind = "cut"
-            headers = {"Idempotency-Key": ask.identity, "User-Agent": "surge"}
-            if ask.numbered:
-                headers["Dockmux-Attempt"] = str(seen.attempt)
-            if seen.start:
-                headers |= {"Dockmux-Resume-From": str(seen.start), "Dockmux-Resume-Of": seen.answer}
-            response = stream.call(method="POST", path=f"/lanes/{ask.lane}", fields=ask.body, headers=headers)
-            seen.status = response.status
+            attempt.kind = "cut"
+            headers = {"Idempotency-Key": request.identity, "User-Agent": "surge"}
+            if request.sends_attempt_number:
+                headers["Dockmux-Attempt"] = str(attempt.number)
+            if attempt.resume_from:
+                headers |= {"Dockmux-Resume-From": str(attempt.resume_from), "Dockmux-Resume-Of": attempt.answer_id}
+            response = stream.call(method="POST", path=f"/lanes/{request.lane}", fields=request.body, headers=headers)
+            attempt.status = response.status
             if response.status != 200:
-                _refusal(seen=seen, response=response)
+                _read_refusal(attempt=attempt, response=response)
             else:
-                _stream(host=host, ask=ask, seen=seen, response=response, since=since)
+                _read_stream(host=host, request=request, attempt=attempt, response=response, since=since)
     except TimeoutError:
-        seen.kind = "silent"
-        seen.wrong.append("no outcome by the horizon and three seconds")
+        attempt.kind = "silent"
+        attempt.violations.append("no outcome by the horizon and three seconds")
     except (OSError, urllib3.exceptions.HTTPError, ValueError) as error:
-        seen.detail = {"error": f"{type(error).__name__}: {error}"[:200]}
+        attempt.detail = {"error": f"{type(error).__name__}: {error}"[:200]}
     finally:
-        seen.ended = host.elapsed() - since
+        attempt.ended = host.elapsed() - since
 
 
-def _refusal(*, seen: Attempt, response: Any) -> None:
-    told = json.loads(response.read())
-    seen.kind = told["outcome"]
-    seen.detail = told
-    seen.retryMs = told.get("retryMs", 0)
+def _read_refusal(*, attempt: Attempt, response: Any) -> None:
+    body = json.loads(response.read())
+    attempt.kind = body["outcome"]
+    attempt.detail = body
+    attempt.retry_ms = body.get("retryMs", 0)
     if response.status >= 500 and "Retry-After" not in response.headers:
-        seen.wrong.append("given up without Retry-After")
+        attempt.violations.append("given up without Retry-After")
 
 
-def _stream(*, host: Host, ask: LoadRequest, seen: Attempt, response: Any, since: timedelta) -> None:
+def _read_stream(*, host: Host, request: LoadRequest, attempt: Attempt, response: Any, since: timedelta) -> None:
     texts: list[str] = []
-    seen.answer = response.headers.get("Dockmux-Answer", "")
-    stampUs = 0
+    attempt.answer_id = response.headers.get("Dockmux-Answer", "")
+    previous_stamp_us = 0
     for line in response:
-        if seen.complete:
-            seen.wrong.append("something came after the last line")
-        told = json.loads(line)
-        if told["request"] != ask.identity:
-            seen.wrong.append(f"a piece of {told['request']}")
-        if "outcome" in told:
-            _last(ask=ask, seen=seen, told=told, texts=texts)
+        if attempt.complete:
+            attempt.violations.append("something came after the last line")
+        line_fields = json.loads(line)
+        if line_fields["request"] != request.identity:
+            attempt.violations.append(f"a piece of {line_fields['request']}")
+        if "outcome" in line_fields:
+            _read_last_line(request=request, attempt=attempt, line_fields=line_fields, texts=texts)
             continue
-        if seen.first is None:
-            seen.first = host.elapsed() - since
-        if told["n"] != seen.count:
-            seen.wrong.append(f"piece {told['n']} where {seen.count} was due")
-        elif any(told["text"] in answer[: told["n"]] for answer in ask.answers):
-            seen.wrong.append(f"piece {told['n']} is an earlier one, where {told['n']} was due")
+        if attempt.first is None:
+            attempt.first = host.elapsed() - since
+        if line_fields["n"] != attempt.count:
+            attempt.violations.append(f"piece {line_fields['n']} where {attempt.count} was due")
+        elif any(line_fields["text"] in answer[: line_fields["n"]] for answer in request.answers):
+            attempt.violations.append(f"piece {line_fields['n']} is an earlier one, where {line_fields['n']} was due")
         else:
-            seen.fits = [
-                place for place in seen.fits if ask.answers[place][told["n"] : told["n"] + 1] == [told["text"]]
+            attempt.matching_answers = [
+                index
+                for index in attempt.matching_answers
+                if request.answers[index][line_fields["n"] : line_fields["n"] + 1] == [line_fields["text"]]
             ]
-            if not seen.fits:
-                seen.wrong.append(f"piece {told['n']} is not of this answer")
-        if told["stampUs"] < stampUs:
-            seen.wrong.append(f"piece {told['n']} is stamped before the one before it")
-        stampUs = told["stampUs"]
-        texts.append(told["text"])
-        seen.count += 1
-
-
-def _last(*, ask: LoadRequest, seen: Attempt, told: dict[str, Any], texts: list[str]) -> None:
-    seen.kind = told["outcome"]
-    seen.complete = told["complete"]
-    seen.retryMs = told.get("retryMs", 0)
-    seen.detail = {k: v for k, v in told.items() if k in ("why", "retryMs")}
-    if seen.complete:
-        whole = len(ask.answers[0])
-        if told["count"] != seen.count or seen.count != whole:
-            seen.wrong.append(f"complete with {seen.count} of {whole} pieces")
-        if told["digest"] != hashlib.sha256("".join(texts).encode()).hexdigest():
-            seen.wrong.append("the digest does not fit the pieces")
-        if told["outcome"] != "answered":
-            seen.wrong.append("complete but not answered")
+            if not attempt.matching_answers:
+                attempt.violations.append(f"piece {line_fields['n']} is not of this answer")
+        if line_fields["stampUs"] < previous_stamp_us:
+            attempt.violations.append(f"piece {line_fields['n']} is stamped before the one before it")
+        previous_stamp_us = line_fields["stampUs"]
+        texts.append(line_fields["text"])
+        attempt.count += 1
+
+
+def _read_last_line(*, request: LoadRequest, attempt: Attempt, line_fields: dict[str, Any], texts: list[str]) -> None:
+    attempt.kind = line_fields["outcome"]
+    attempt.complete = line_fields["complete"]
+    attempt.retry_ms = line_fields.get("retryMs", 0)
+    attempt.detail = {k: v for k, v in line_fields.items() if k in ("why", "retryMs")}
+    if attempt.complete:
+        whole = len(request.answers[0])
+        if line_fields["count"] != attempt.count or attempt.count != whole:
+            attempt.violations.append(f"complete with {attempt.count} of {whole} pieces")
+        if line_fields["digest"] != hashlib.sha256("".join(texts).encode()).hexdigest():
+            attempt.violations.append("the digest does not fit the pieces")
+        if line_fields["outcome"] != "answered":
+            attempt.violations.append("complete but not answered")
--- a/dockmux/local_fleet/drill.py
+++ b/dockmux/local_fleet/drill.py
@@ -169,22 +169,22 @@
         applied = ConfigChange(
             sent=timedelta(), ended=host.elapsed() - since, tree=plan.tree, status=200, mark=told["mark"]
         )
-        open_loop = OpenLoopLoad(host=host, plan=plan, seed=seed, patience=2)
+        open_loop = OpenLoopLoad(host=host, plan=plan, seed=seed, max_retries=2)
         began = host.elapsed() - since
         # The load lasts until it is told to end: faults take as long as they take.
         lasts = 3 * SECOND + FAULT_LIMIT + quiet
-        task = task_group.start(task=open_loop.run, lasts=lasts, since=since)
+        task = task_group.start(task=open_loop.run, duration=lasts, since=since)
         host.sleep(wait=3 * SECOND)
         made = Drill(host=host, fleet=fleet, task_group=task_group, since=since)
         made.act(kind=kind)
         healed = host.elapsed() - since
-        open_loop.until = healed + quiet
+        open_loop.stop_at = healed + quiet
         task.wait()
         lasted = host.elapsed() - since
         kept = fleet.kept()
         exits = fleet.stop()
         truth = GroundTruth(
-            seen=open_loop.seen,
+            seen=open_loop.attempts,
             rows=_rows(fleet=fleet, since=since),
             told=[applied, *made.told],
             leaving=[],
@@ -196,7 +196,7 @@
         )
     return Drilled(
         wrong=checks.check(truth=truth),
-        summary=summarize(seen=open_loop.seen),
+        summary=summarize(attempts=open_loop.attempts),
         recoveredMs=checks.recovery(truth=truth) // ms(1),
         exits=exits,
         told=[told.status for told in made.told],
--- a/dockmux/simulator/checks.py
+++ b/dockmux/simulator/checks.py
@@ -43,7 +43,7 @@
         attempts[f"{seen.lane}/{seen.identity}"].append(seen)
     wrong = []
     for key, rows in attempts.items():
-        rows.sort(key=lambda seen: seen.attempt)
+        rows.sort(key=lambda seen: seen.number)
         for place, seen in enumerate(rows):
             again = rows[place + 1].intended if place + 1 < len(rows) else truth.lasted + 60 * SECOND
             before = [at for at in ran[key] if at < again]
@@ -56,7 +56,7 @@
     return [
         f"{seen.lane}/{seen.identity}: {text}"
         for seen in truth.seen
-        for text in seen.wrong
+        for text in seen.violations
         if any(word in text for word in words)
     ]
 
@@ -264,7 +264,7 @@
         stood = [
             1 for edge, since, until in truth.still if edge == seen.edge and since < seen.ended > seen.intended < until
         ]
-        if "no outcome" in " ".join(seen.wrong) and not stood:
+        if "no outcome" in " ".join(seen.violations) and not stood:
             wrong.append(f"{seen.lane}/{seen.identity}: no outcome by the horizon and three seconds")
     return wrong
 
@@ -341,9 +341,9 @@
         case "refused_never_runs":
             truth.seen[5].kind = "busy"
         case "answers_are_own_and_whole":
-            truth.seen[0].wrong.append("piece 3 is not of this answer")
+            truth.seen[0].violations.append("piece 3 is not of this answer")
         case "pieces_in_order":
-            truth.seen[0].wrong.append("piece 3 where 2 was due")
+            truth.seen[0].violations.append("piece 3 where 2 was due")
         case "memory_is_own":
             truth.rows.append(_leg(at=end, what="decode", request="ask/r2", memory_of="ask/r1", start=0))
         case "services_are_allowed":
@@ -365,7 +365,7 @@
         case "service_returns":
             truth.seen[:] = [row for row in truth.seen if not 20 * SECOND < row.ended < 34 * SECOND]
         case "everyone_is_answered":
-            truth.seen[0].wrong.append("no outcome by the horizon and three seconds")
+            truth.seen[0].violations.append("no outcome by the horizon and three seconds")
         case _:
             raise AssertionError(name)
 
@@ -428,11 +428,11 @@
     twice = [told(status=200, mark=2), told(status=200, mark=2, tree={**other, "sites": {}})]
     assert _found(told=twice, kept=[{"mark": 2, "tree": twice[1].tree}]) == ["configurations_are_kept"]
     # A repeat that is refused though an earlier attempt has run, and a request that runs after its refusal.
-    again = Attempt(lane="ask", identity="r5", edge="e", intended=end, kind="busy", ended=end, attempt=2)
+    again = Attempt(lane="ask", identity="r5", edge="e", intended=end, kind="busy", ended=end, number=2)
     assert _found(seen=[again]) == ["refused_never_runs"]
     # Nobody is left without an outcome, but a machine that stands still gives none.
     silent = Attempt(
-        lane="ask", identity="x", edge="e", intended=end, ended=end + 9 * SECOND, wrong=["no outcome by then"]
+        lane="ask", identity="x", edge="e", intended=end, ended=end + 9 * SECOND, violations=["no outcome by then"]
     )
     assert _found(seen=[silent]) == ["everyone_is_answered"]
     assert _found(seen=[silent], still=[("e", end + SECOND, end + 8 * SECOND)]) == []
--- a/dockmux/simulator/day.py
+++ b/dockmux/simulator/day.py
@@ -58,12 +58,12 @@
         told = ConfigChange(sent=timedelta(), ended=made.world.now(), tree=plan.tree, status=200, mark=_mark(made=made))
         doer = Doer(fleet=made, seed=seed)
         doer.told.append(told)
-        open_loop = OpenLoopLoad(host=made.outside, plan=plan, seed=seed, patience=2, trees=twins(tree=plan.tree))
+        open_loop = OpenLoopLoad(host=made.outside, plan=plan, seed=seed, max_retries=2, trees=twins(tree=plan.tree))
         began = made.world.now()
         probe = Probe(fleet=made)
         eventlet.spawn(probe.run)
         load_task = eventlet.spawn(
-            open_loop.run, lasts=LEAD_IN + lasts + QUIET, since=timedelta(), rate=doer.wanted, swing=doer
+            open_loop.run, duration=LEAD_IN + lasts + QUIET, since=timedelta(), rate=doer.wanted, mix_bias_source=doer
         )
         tasks = []
         for fault in faults:
@@ -78,10 +78,10 @@
         final = chance.choice(FINAL_KINDS)
         doer.final(kind=final, chance=chance)
         if final != "none":
-            open_loop.again(lane_runs="once", most=12, since=timedelta())
+            open_loop.resend_last(run_mode="once", max_count=12, since=timedelta())
         kept = _kept(made=made)
         truth = GroundTruth(
-            seen=open_loop.seen,
+            seen=open_loop.attempts,
             rows=rows_of(engines=made.engines),
             told=doer.told,
             leaving=doer.leaving,
@@ -110,7 +110,7 @@
         if failed or made.world.crashes:
             wrong["no_task_fails"] = [*failed, *made.world.crashes]
         outcomes: dict[str, int] = {}
-        for seen in open_loop.seen:
+        for seen in open_loop.attempts:
             outcomes[seen.kind] = outcomes.get(seen.kind, 0) + 1
         events = [f"{at} {name} [{log_event.number}] {text}" for at, name, log_event, text in made.world.logged]
     return Verdict(
@@ -119,7 +119,7 @@
         faults=faults,
         wrong=wrong,
         outcomes=dict(sorted(outcomes.items())),
-        sent=len(open_loop.seen),
+        sent=len(open_loop.attempts),
         recoveredMs=checks.recovery(truth=truth) // ms(1),
         final=final,
         extraPercent=round(shares[0] * 100, 1),
--- a/dockmux/simulator/exchanges.py
+++ b/dockmux/simulator/exchanges.py
@@ -137,7 +137,7 @@
         given = [json.loads(line) for line in lines[0] if '"text"' in line]
         rest = {"Idempotency-Key": "a", "Dockmux-Resume-From": "2", "Dockmux-Resume-Of": _answer(lines[0])}
         told = [lines[0][-1:], say(made=made, body=body, edge=1, headers=rest)]
-    ask = open_loop.ask(kind=made.plan.mix[0])
+    ask = open_loop.next_request(mix_entry=made.plan.mix[0])
     wanted = model.expected(request="ask/a", model="m", adapter=None, body=body)
     assert ask.answers and 100 < len(given) < 600
     assert [row["text"] for row in given] == wanted[: len(given)]
@@ -148,9 +148,9 @@
 def test_pieces_are_given_as_they_are_written_not_all_at_the_end():
     with serving() as made:
         open_loop = OpenLoopLoad(host=made.outside, plan=made.plan, seed=1)
-        ask = open_loop.ask(kind={**made.plan.mix[0], "pieces": [20, 20]})
+        ask = open_loop.next_request(mix_entry={**made.plan.mix[0], "pieces": [20, 20]})
         seen = Attempt(lane=ask.lane, identity=ask.identity, edge=ask.edge, intended=made.world.now())
-        send(host=made.outside, ask=ask, seen=seen, since=timedelta())
+        send(host=made.outside, request=ask, attempt=seen, since=timedelta())
     assert seen.kind == "answered" and seen.ended - seen.first >= 15 * ms(8)
 
 
@@ -207,7 +207,7 @@
     with serving() as made:
         kind = {**made.plan.mix[0], "pieces": [5000, 5000]}
         open_loop = OpenLoopLoad(host=made.outside, plan=made.plan, seed=1)
-        slow = open_loop.ask(kind=kind)
+        slow = open_loop.next_request(mix_entry=kind)
         edge = made.daemons["edge-0"]
         with HttpClientConnection(host=made.outside, address=made.plan.edges[0]["http"], wait=SECOND) as stream:
             stream.connect()
@@ -217,9 +217,9 @@
             made.outside.sleep(wait=2 * SECOND)
             others = []
             for _ in range(5):
-                ask = open_loop.ask(kind=made.plan.mix[0])
+                ask = open_loop.next_request(mix_entry=made.plan.mix[0])
                 seen = Attempt(lane=ask.lane, identity=ask.identity, edge=ask.edge, intended=made.world.now())
-                send(host=made.outside, ask=ask, seen=seen, since=timedelta())
+                send(host=made.outside, request=ask, attempt=seen, since=timedelta())
                 others.append((seen.kind, seen.ended - seen.intended < SECOND))
             made.outside.sleep(wait=30 * SECOND)
             record = edge.table.records[f"ask/{slow.identity}"]
--- a/dockmux/simulator/faults.py
+++ b/dockmux/simulator/faults.py
@@ -123,7 +123,7 @@
         self.told: list[ConfigChange] = []
         self.leaving: list[tuple[timedelta, str]] = []
         self.rate = 1.0
-        self.swing = ""
+        self.mix_bias = ""
         self.core_down = False
         self.replaced = 0
         self.foreign: list[Any] = []
@@ -161,9 +161,9 @@
         self._swing(to="answers", lasts=lasts)
 
     def _swing(self, *, to: str, lasts: timedelta) -> None:
-        self.swing = to
+        self.mix_bias = to
         self._sleep(lasts)
-        self.swing = ""
+        self.mix_bias = ""
 
     # Engines.
 
--- a/dockmux/simulator/fleet.py
+++ b/dockmux/simulator/fleet.py
@@ -170,9 +170,9 @@
     with fleet(plan=load(path="fleets/mini.yaml"), seed=seed) as made:
         made.begin()
         open_loop = OpenLoopLoad(host=made.outside, plan=made.plan, seed=seed)
-        ask = open_loop.ask(kind=made.plan.mix[1])
+        ask = open_loop.next_request(mix_entry=made.plan.mix[1])
         seen = Attempt(lane=ask.lane, identity=ask.identity, edge=ask.edge, intended=made.world.now())
-        send(host=made.outside, ask=ask, seen=seen, since=timedelta())
+        send(host=made.outside, request=ask, attempt=seen, since=timedelta())
         lines = [f"{at} {name} [{log_event.number}] {text}" for at, name, log_event, text in made.world.logged]
         lines += [str(row) for engine in made.engines for row in engine.history]
         assert not made.world.crashes and not [n for _, _, n, _ in made.world.logged if n is LogEvent.TASK_FAILED]
@@ -183,4 +183,4 @@
     first = exchange(seed=5)
     assert first == exchange(seed=5)
     assert first != exchange(seed=6)
-    assert "kind='answered'" in first[-1] and "wrong=[]" in first[-1]
+    assert "kind='answered'" in first[-1] and "violations=[]" in first[-1]
--- a/dockmux/simulator/rules.py
+++ b/dockmux/simulator/rules.py
@@ -89,21 +89,21 @@
         if edge is not None:
             open_loop = OpenLoopLoad(host=self.made.outside, plan=dataclasses.replace(
                 self.made.plan, edges=[self.made.plan.edges[edge]]), seed=2 + edge)  # fmt: skip
-            open_loop.seen = self.open_loop.seen
-        return eventlet.spawn(open_loop.run, lasts=lasts, since=timedelta())
+            open_loop.attempts = self.open_loop.attempts
+        return eventlet.spawn(open_loop.run, duration=lasts, since=timedelta())
 
     def ask(self, *, lane: str, edge: int = 0, pieces: int = 6, prompt: str = "", like: Any = None) -> Any:
         """Sends one request, or another attempt at one; gives the ask, what is seen of it, and the task."""
         kind = next(kind for kind in self.made.plan.mix if kind["lane"] == lane)
-        ask = like or self.open_loop.ask(kind={**kind, "pieces": [pieces, pieces]})
+        ask = like or self.open_loop.next_request(mix_entry={**kind, "pieces": [pieces, pieces]})
         if prompt:
             ask = dataclasses.replace(ask, body={**ask.body, "prompt": prompt})
-        ask = dataclasses.replace(ask, edge=self.made.plan.edges[edge]["http"], numbered=False)
-        attempt = 1 + sum(seen.identity == ask.identity for seen in self.open_loop.seen)
+        ask = dataclasses.replace(ask, edge=self.made.plan.edges[edge]["http"], sends_attempt_number=False)
+        attempt = 1 + sum(seen.identity == ask.identity for seen in self.open_loop.attempts)
         now = self.made.world.now()
-        seen = Attempt(lane=ask.lane, identity=ask.identity, edge=ask.edge, intended=now, attempt=attempt)
-        self.open_loop.seen.append(seen)
-        task = eventlet.spawn(send, host=self.made.outside, ask=ask, seen=seen, since=timedelta())
+        seen = Attempt(lane=ask.lane, identity=ask.identity, edge=ask.edge, intended=now, number=attempt)
+        self.open_loop.attempts.append(seen)
+        task = eventlet.spawn(send, host=self.made.outside, request=ask, attempt=seen, since=timedelta())
         return ask, seen, task
 
     def cut(self, *, names: list[str], others: list[str]) -> set[tuple[str, str]]:
@@ -153,7 +153,7 @@
                 break
             self.sleep(SECOND / 2)
         return GroundTruth(
-            seen=self.open_loop.seen, rows=rows_of(engines=self.made.engines), told=self.doer.told,
+            seen=self.open_loop.attempts, rows=rows_of(engines=self.made.engines), told=self.doer.told,
             leaving=self.doer.leaving, sites={edge["name"]: edge["site"] for edge in self.made.plan.edges},
             perSecond=self.perSecond, healed=self.healed, lasted=self.made.world.now(), kept=kept,
         )  # fmt: skip
@@ -227,7 +227,9 @@
     one, _, task = scene.ask(lane="plain")
     task.wait()
     kind = next(kind for kind in scene.made.plan.mix if kind["lane"] == "plain")
-    other = dataclasses.replace(scene.open_loop.ask(kind={**kind, "pieces": [6, 6]}), identity=one.identity)
+    other = dataclasses.replace(
+        scene.open_loop.next_request(mix_entry={**kind, "pieces": [6, 6]}), identity=one.identity
+    )
     _, second, task = scene.ask(lane="plain", like=other)
     task.wait()
     return [row] * (cut.count > 0) * (second.status in (200, 409))
@@ -280,7 +282,7 @@
     scene.doer.leaving.append((scene.made.world.now(), made.incarnation))
     before = len(scene.rows(what="decode"))
     scene.load(lasts=6 * SECOND).wait()
-    return [before] * (len(scene.open_loop.seen) > 200)
+    return [before] * (len(scene.open_loop.attempts) > 200)
 
 
 def honoured(scene: Scene) -> list[Any]:
@@ -448,8 +450,8 @@
     scene.sleep(19 * SECOND)
     ended = scene.truth()
     task.wait()
-    scene.truth = lambda: dataclasses.replace(ended, seen=scene.open_loop.seen)
-    return [seen for seen in scene.open_loop.seen if seen.kind == "unreachable"]
+    scene.truth = lambda: dataclasses.replace(ended, seen=scene.open_loop.attempts)
+    return [seen for seen in scene.open_loop.attempts if seen.kind == "unreachable"]
 
 
 # Defences, each taken away by replacing one thing.
--- a/dockmux/simulator/strain.py
+++ b/dockmux/simulator/strain.py
@@ -43,19 +43,19 @@
         made.begin()
         eventlet.sleep(2)
         open_loop = OpenLoopLoad(host=made.outside, plan=plan, seed=seed)
-        open_loop.run(lasts=lasts, since=timedelta(), rate=lambda _: plan.perSecond * times)
+        open_loop.run(duration=lasts, since=timedelta(), rate=lambda _: plan.perSecond * times)
         rows = [row for engine in made.engines for row in engine.history if row["what"] == "prefilled"]
         spans: dict[str, list[timedelta]] = {}
         for edge in plan.edges:
             for stage, found in made.daemons[edge["name"]].table.stages().latest.items():
                 spans.setdefault(stage, []).extend(found)
-        answered = sum(1 for seen in open_loop.seen if seen.kind == "answered")
+        answered = sum(1 for seen in open_loop.attempts if seen.kind == "answered")
         return Strain(
             fleet=plan.name,
             seed=seed,
             times=times,
             perSecond=answered / lasts.total_seconds(),
             warmPercent=100 * sum(row["warm"] for row in rows) // max(len(rows), 1),
-            summary=summarize(seen=open_loop.seen),
-            stages={stage: quantiles(spans=found) for stage, found in spans.items()},
+            summary=summarize(attempts=open_loop.attempts),
+            stages={stage: quantiles(durations=found) for stage, found in spans.items()},
         )
