--- a/dockmux/engine_emulator/__init__.py
+++ b/dockmux/engine_emulator/__init__.py
@@ -1,1 +1,1 @@
-"""A stand-in for an engine."""
+"""Emulated engine for tests and local fleets."""
--- a/dockmux/engine_emulator/engine.py
+++ b/dockmux/engine_emulator/engine.py
@@ -1,4 +1,4 @@
-"""One engine's stand-in: reads prompts, streams answers, hands memory over, takes orders, records the truth."""
+"""Emulated engine: prefill, KV cache transfer, streamed decode, phase orders, and a record of all it does."""
 
 import contextlib
 import dataclasses
@@ -10,19 +10,22 @@
 
 from eventlet.semaphore import Semaphore
 
-from dockmux.engine_emulator import model
+from dockmux.engine_emulator import answer_model
 from dockmux.runtime.host import Host, time_limit
 from dockmux.runtime.http_transport import HttpExchange, fetch, serve
 from dockmux.runtime.task_group import TaskGroup
 from dockmux.runtime.time_units import ms, to_us
 
-MEMORY_MOST = 2000
-PREFIXES_MOST = 64
+MAX_KV_HANDLES = 2000
+MAX_CACHED_PREFIXES = 64
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Speed:
-    """How fast the engine works. Long prompts cost reading, long answers writing."""
+    """Timing and capacity of an engine. The command line has a flag for each field.
+
+    Prefill takes `readBaseMs` plus `readPerKbMs` for each KiB of prompt that is not cached; decode takes `writeBaseMs`
+    plus `writePerPieceMs` for each piece; a KV cache is kept for `memoryMs` after prefill."""
 
     readBaseMs: int = 20
     readPerKbMs: int = 12
@@ -34,13 +37,15 @@
 
 
 class Engine:
-    """Invariants: `history` is the ground truth, appended to as things happen; at most one phase's slots are
-    worked in, and `memory` holds what was read here and has not lapsed. An engine that is `mixed` up answers a reading
-    with the tag of the `latest` one before it."""
+    """One engine with slots for prefill and decode.
+
+    Invariants: `history` is the ground truth, appended to as events happen; work is accepted for the current phase
+    only; `kv_cache` maps the token of each prefill done here to (expiry, KV handle, prompt digest). If
+    `returns_previous_kv_handle` is set, a prefill returns the handle of the one before it, a fault to be detected."""
 
     def __init__(
         self, *, host: Host, name: str, service: str, address: str, phase: str, speed: Speed | None = None,
-        record: str = "",
+        record_path: str = "",
     ) -> None:  # fmt: skip
         self.host = host
         self.name = name
@@ -48,11 +53,11 @@
         self.address = address
         self.phase = phase
         self.speed = speed or Speed()
-        self.record = record
+        self.record_path = record_path
         self.incarnation = f"{host.random.getrandbits(64):016x}"
         self.leaving = False
-        self.mixed = False
-        self.latest: dict[str, Any] | None = None
+        self.returns_previous_kv_handle = False
+        self.latest_kv_handle: dict[str, Any] | None = None
         self.order_mark = 0
         self.running_count = 0
         self.queued = 0
@@ -60,55 +65,59 @@
             "prefill": Semaphore(self.speed.prefill_slots),
             "decode": Semaphore(self.speed.decode_slots),
         }
-        self.memory: OrderedDict[str, tuple[timedelta, dict[str, Any], str]] = OrderedDict()
+        self.kv_cache: OrderedDict[str, tuple[timedelta, dict[str, Any], str]] = OrderedDict()
         self.prefixes: OrderedDict[str, bool] = OrderedDict()
         self.history: list[dict[str, Any]] = []
 
     @contextlib.contextmanager
     def running(self) -> Iterator["Engine"]:
+        """Serves the engine's HTTP interface until the context ends."""
         with contextlib.ExitStack() as stack:
-            self.file = stack.enter_context(open(self.record, "a")) if self.record else None
+            self.record_file = stack.enter_context(open(self.record_path, "a")) if self.record_path else None
             task_group = stack.enter_context(TaskGroup(host=self.host))
             listener = stack.enter_context(self.host.listen(address=self.address))
             task_group.supervise(task=serve, host=self.host, listener=listener, handler=self.handle_http)
-            self.note(what="start")
+            self.record_event(what="start")
             yield self
 
     def drain(self) -> int:
+        """Rejects new work from now on; returns the number of running and queued requests."""
         if not self.leaving:
             self.leaving = True
-            self.note(what="leaving")
+            self.record_event(what="leaving")
         return self.running_count + self.queued
 
-    def note(self, *, what: str, **fields: Any) -> None:
+    def record_event(self, *, what: str, **fields: Any) -> None:
+        """Appends a row to `history` and to the record file, if there is one."""
         row = {
             "atUs": to_us(self.host.elapsed()), "engine": self.name, "incarnation": self.incarnation,
             "service": self.service, "what": what, **fields,
         }  # fmt: skip
         self.history.append(row)
-        if self.file is not None:
-            self.file.write(json.dumps(row) + "\n")
-            self.file.flush()
+        if self.record_file is not None:
+            self.record_file.write(json.dumps(row) + "\n")
+            self.record_file.flush()
 
     def handle_http(self, exchange: HttpExchange) -> Iterable[bytes]:
+        """Handles one request of a proxy or, for a KV cache, of another engine."""
         method, path = exchange.method, exchange.path
         if method == "GET" and path == "/identity":
             return exchange.reply(status=200, fields=self._identity())
         if method == "GET" and path == "/status":
             return exchange.reply(status=200, fields=self._status())
         if method == "GET" and path.startswith("/memory/"):
-            return self._hand_over(exchange=exchange, token=path[8:])
+            return self._get_kv_cache(exchange=exchange, token=path[8:])
         if method == "POST" and path in ("/prefill", "/decode", "/order", "/leave"):
             fields = json.loads(exchange.body(limit_bytes=1 << 24) or b"{}")
-            answer = {
+            handler = {
                 "/prefill": self._prefill, "/decode": self._decode, "/order": self._order, "/leave": self._leave,
             }[path]  # fmt: skip
-            return answer(exchange=exchange, fields=fields)
+            return handler(exchange=exchange, fields=fields)
         return exchange.reply(status=404, fields={"why": "no such path"})
 
     def _identity(self) -> dict[str, Any]:
-        told = {"service": self.service, "engine": self.name, "incarnation": self.incarnation}
-        return {**told, "nowUs": to_us(self.host.elapsed())}
+        identity = {"service": self.service, "engine": self.name, "incarnation": self.incarnation}
+        return {**identity, "nowUs": to_us(self.host.elapsed())}
 
     def _status(self) -> dict[str, Any]:
         return {
@@ -119,23 +128,24 @@
 
     def _leave(self, *, exchange: HttpExchange, fields: dict[str, Any]) -> list[bytes]:
         self.leaving = True
-        self.note(what="leaving")
+        self.record_event(what="leaving")
         return exchange.reply(status=200, fields=self._status())
 
     def _order(self, *, exchange: HttpExchange, fields: dict[str, Any]) -> list[bytes]:
-        """Taken only while the permit that it was given under holds, on this engine's clock."""
+        """Sets the phase. Accepts an order only while its permit is valid (`untilUs`) on this engine's clock."""
         late = to_us(self.host.elapsed()) > fields["untilUs"]
         if late or fields["mark"] < self.order_mark:
-            self.note(what="order_refused", mark=fields["mark"], by=fields["by"], late=late)
+            self.record_event(what="order_refused", mark=fields["mark"], by=fields["by"], late=late)
             return exchange.reply(status=409, fields={"why": "late" if late else "a later permit has commanded"})
-        self.note(what="order", mark=fields["mark"], phase=fields["phase"], by=fields["by"])
+        self.record_event(what="order", mark=fields["mark"], phase=fields["phase"], by=fields["by"])
         self.order_mark = fields["mark"]
         if fields["phase"] != self.phase:
             self.phase = fields["phase"]
-            self.note(what="phase", phase=self.phase)
+            self.record_event(what="phase", phase=self.phase)
         return exchange.reply(status=200, fields=self._status())
 
-    def _will_not(self, *, exchange: HttpExchange, fields: dict[str, Any], phase: str) -> list[bytes] | None:
+    def _rejection(self, *, exchange: HttpExchange, fields: dict[str, Any], phase: str) -> list[bytes] | None:
+        """Answers 409 if this engine must not run the request, else returns None."""
         why = ""
         if to_us(self.host.elapsed()) > fields["untilUs"]:
             why = "late"
@@ -147,16 +157,16 @@
             why = "not that engine"
         if not why:
             return None
-        self.note(what="rejected", why=why, **self._told(exchange=exchange, fields=fields))
+        self.record_event(what="rejected", why=why, **self._request_fields(exchange=exchange, fields=fields))
         return exchange.reply(status=409, fields={"why": why})
 
-    def _told(self, *, exchange: HttpExchange, fields: dict[str, Any]) -> dict[str, Any]:
-        """What a leg said of itself, for the record."""
+    def _request_fields(self, *, exchange: HttpExchange, fields: dict[str, Any]) -> dict[str, Any]:
+        """Returns the fields of a prefill or decode request that are written to the record."""
         by = exchange.header(name="User-Agent").removeprefix("dockmux/")
         return {"by": by, **{key: fields[key] for key in ("request", "lane", "mark", "model", "adapter", "run")}}
 
     @contextlib.contextmanager
-    def _slot(self, *, phase: str) -> Iterator[None]:
+    def _hold_slot(self, *, phase: str) -> Iterator[None]:
         self.queued += 1
         try:
             self.slots[phase].acquire()
@@ -170,91 +180,96 @@
             self.slots[phase].release()
 
     def _prefill(self, *, exchange: HttpExchange, fields: dict[str, Any]) -> list[bytes]:
-        refused = self._will_not(exchange=exchange, fields=fields, phase="prefill")
-        if refused is not None:
-            return refused
+        rejection = self._rejection(exchange=exchange, fields=fields, phase="prefill")
+        if rejection is not None:
+            return rejection
         request = fields["request"]
-        self.note(what="prefill", **self._told(exchange=exchange, fields=fields))
-        with self._slot(phase="prefill"):
+        self.record_event(what="prefill", **self._request_fields(exchange=exchange, fields=fields))
+        with self._hold_slot(phase="prefill"):
             warm = fields["prefix_digest"] in self.prefixes
             self.prefixes[fields["prefix_digest"]] = True
             self.prefixes.move_to_end(fields["prefix_digest"])
-            while len(self.prefixes) > PREFIXES_MOST:
+            while len(self.prefixes) > MAX_CACHED_PREFIXES:
                 self.prefixes.popitem(last=False)
             size = len(fields["prompt"]) + (0 if warm else len(fields["prefix"]))
             self.host.sleep(wait=ms(self.speed.readBaseMs + self.speed.readPerKbMs * size // 1024))
         token = f"{self.host.random.getrandbits(64):016x}"
-        memory = {
+        kv_handle = {
             "token": token, "engine": self.name, "incarnation": self.incarnation, "request": request,
             "prefix_digest": fields["prefix_digest"], "model": fields["model"], "adapter": fields["adapter"],
         }  # fmt: skip
-        digest = model.prompt_digest(prompt=fields["prompt"], prefix=fields["prefix"])
-        self.memory[token] = (self.host.elapsed() + ms(self.speed.memoryMs), memory, digest)
-        while len(self.memory) > MEMORY_MOST:
-            self.memory.popitem(last=False)
-        self.note(what="prefilled", request=request, warm=warm)
-        told, self.latest = self.latest if self.mixed and self.latest else memory, memory
-        if told is not memory:
-            self.note(what="mixed", request=request, told=told["request"])
-        return exchange.reply(status=200, fields={"memory": told})
+        digest = answer_model.prompt_digest(prompt=fields["prompt"], prefix=fields["prefix"])
+        self.kv_cache[token] = (self.host.elapsed() + ms(self.speed.memoryMs), kv_handle, digest)
+        while len(self.kv_cache) > MAX_KV_HANDLES:
+            self.kv_cache.popitem(last=False)
+        self.record_event(what="prefilled", request=request, warm=warm)
+        returned, self.latest_kv_handle = (
+            self.latest_kv_handle if self.returns_previous_kv_handle and self.latest_kv_handle else kv_handle,
+            kv_handle,
+        )
+        if returned is not kv_handle:
+            self.record_event(what="mixed", request=request, told=returned["request"])
+        return exchange.reply(status=200, fields={"memory": returned})
 
-    def _hand_over(self, *, exchange: HttpExchange, token: str) -> list[bytes]:
-        lapses, memory, digest = self.memory.get(token, (timedelta(), None, ""))
-        if self.host.elapsed() >= lapses:
+    def _get_kv_cache(self, *, exchange: HttpExchange, token: str) -> list[bytes]:
+        expires_at, kv_handle, digest = self.kv_cache.get(token, (timedelta(), None, ""))
+        if self.host.elapsed() >= expires_at:
             return exchange.reply(status=410, fields={"why": "lapsed"})
-        return exchange.reply(status=200, fields={"memory": memory, "digest": digest})
+        return exchange.reply(status=200, fields={"memory": kv_handle, "digest": digest})
 
-    def lapse(self) -> None:
-        """All memory handed over or to be handed over is gone at once."""
-        self.note(what="lapse")
-        self.memory.clear()
+    def expire_kv_cache(self) -> None:
+        """Drops the KV caches of all requests at once."""
+        self.record_event(what="lapse")
+        self.kv_cache.clear()
 
     def _decode(self, *, exchange: HttpExchange, fields: dict[str, Any]) -> Iterable[bytes]:
-        refused = self._will_not(exchange=exchange, fields=fields, phase="decode")
-        if refused is not None:
-            return refused
-        receivedUs = to_us(self.host.elapsed())
-        told = None
+        rejection = self._rejection(exchange=exchange, fields=fields, phase="decode")
+        if rejection is not None:
+            return rejection
+        received_us = to_us(self.host.elapsed())
+        transfer = None
         try:
             with time_limit(wait=ms(min(max(fields["horizonMs"], 1), 5000))):
-                status, told, _ = fetch(
+                status, transfer, _ = fetch(
                     host=self.host, address=fields["source"], method="GET",
                     path="/memory/" + fields["memory"]["token"], wait=ms(1000),
                 )  # fmt: skip
         except OSError:
             status = 0
-        if status != 200 or told["memory"]["incarnation"] != fields["memory"]["incarnation"]:
-            self.note(what="no_memory", request=fields["request"], mark=fields["mark"])
+        if status != 200 or transfer["memory"]["incarnation"] != fields["memory"]["incarnation"]:
+            self.record_event(what="no_memory", request=fields["request"], mark=fields["mark"])
             return exchange.reply(status=410, fields={"why": "the memory is not there any more"})
-        return self._write(exchange=exchange, fields=fields, told=told, receivedUs=receivedUs)
+        return self._stream_pieces(exchange=exchange, fields=fields, transfer=transfer, received_us=received_us)
 
-    def _write(
-        self, *, exchange: HttpExchange, fields: dict[str, Any], told: dict[str, Any], receivedUs: int
+    def _stream_pieces(
+        self, *, exchange: HttpExchange, fields: dict[str, Any], transfer: dict[str, Any], received_us: int
     ) -> Iterator[bytes]:
-        """The row of a writing leg bears the time at which the leg was received, before its memory was fetched."""
-        memory, digest = told["memory"], told["digest"]
+        """Streams the answer from piece `from` on.
+
+        The recorded time is the one at which the request was received, before its KV cache was fetched."""
+        kv_handle, digest = transfer["memory"], transfer["digest"]
         request = fields["request"]
-        self.note(
+        self.record_event(
             what="decode",
-            memory_of=memory["request"],
+            memory_of=kv_handle["request"],
             start=fields["from"],
-            atUs=receivedUs,
-            **self._told(exchange=exchange, fields=fields),
+            atUs=received_us,
+            **self._request_fields(exchange=exchange, fields=fields),
         )
-        with self._slot(phase="decode"):
+        with self._hold_slot(phase="decode"):
             exchange.begin(status=200, headers=[("Content-Type", "application/x-ndjson")])
-            yield json.dumps({"memory": memory}).encode() + b"\n"
+            yield json.dumps({"memory": kv_handle}).encode() + b"\n"
             self.host.sleep(wait=ms(self.speed.writeBaseMs))
-            total = model.count(pieces=fields["pieces"], digest=digest)
+            total = answer_model.piece_count(pieces=fields["pieces"], digest=digest)
             for n in range(fields["from"], total):
                 self.host.sleep(wait=ms(self.speed.writePerPieceMs))
-                text = model.piece(
-                    request=memory["request"],
-                    model=memory["model"],
-                    adapter=memory["adapter"],
+                text = answer_model.piece_text(
+                    request=kv_handle["request"],
+                    model=kv_handle["model"],
+                    adapter=kv_handle["adapter"],
                     digest=digest,
                     n=n,
                 )
                 yield json.dumps({"request": request, "n": n, "text": text}).encode() + b"\n"
             yield json.dumps({"end": True, "count": max(total, fields["from"])}).encode() + b"\n"
-        self.note(what="decoded", request=request, pieces=total)
+        self.record_event(what="decoded", request=request, pieces=total)
--- a/dockmux/engine_emulator/program.py
+++ b/dockmux/engine_emulator/program.py
@@ -1,4 +1,4 @@
-"""The engine stand-in's program."""
+"""The command `guise`: runs one emulated engine."""
 
 import argparse
 import sys
@@ -10,12 +10,13 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    parser = argparse.ArgumentParser(prog="guise", description="Stands in for one engine.")
+    """Runs the engine until it is told to stop; returns the exit code."""
+    parser = argparse.ArgumentParser(prog="guise", description="Emulates one engine.")
     parser.add_argument("--name", required=True, help="the engine's name")
     parser.add_argument("--service", required=True, help="the service it belongs to")
-    parser.add_argument("--address", required=True, help="IP and port")
+    parser.add_argument("--address", required=True, help="IP and port to listen on")
     parser.add_argument("--phase", choices=["prefill", "decode"], default="prefill", help="the phase it starts in")
-    parser.add_argument("--record", default="", help="file for the ground truth, one JSON row a line")
+    parser.add_argument("--record", default="", help="file to which events are appended, one JSON object per line")
     for field, value in Speed.__dataclass_fields__.items():
         flag = "--" + field.replace("_", "-")
         parser.add_argument(flag, dest=field, type=int, default=value.default, help=f"default {value.default}")
@@ -26,7 +27,7 @@
     speed = Speed(**{field: getattr(parsed, field) for field in Speed.__dataclass_fields__})
     engine = Engine(
         host=host, name=parsed.name, service=parsed.service, address=parsed.address, phase=parsed.phase,
-        speed=speed, record=parsed.record,
+        speed=speed, record_path=parsed.record,
     )  # fmt: skip
     return run(host=host, settings=settings, context=engine.running())
 
--- a/dockmux/load_generator/open_loop.py
+++ b/dockmux/load_generator/open_loop.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.engine_emulator import model
+from dockmux.engine_emulator import answer_model
 from dockmux.load_generator.client import Attempt, LoadRequest, send
 from dockmux.local_fleet.fleet_plan import FleetPlan
 from dockmux.runtime.config_tree import resolve
@@ -87,7 +87,8 @@
         models = sorted({(v["model"], v["adapter"]) for v in lane_configs if v is not None}, key=repr)
         request_id = f"{mix_entry['lane']}/{identity}"
         answers = [
-            model.expected(request=request_id, model=name, adapter=adapter, body=body) for name, adapter in models
+            answer_model.expected_answer(request=request_id, model=name, adapter=adapter, body=body)
+            for name, adapter in models
         ]
         return LoadRequest(
             lane=mix_entry["lane"], identity=identity, body=body, answers=answers,
--- a/dockmux/simulator/exchanges.py
+++ b/dockmux/simulator/exchanges.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.engine_emulator import model
+from dockmux.engine_emulator import answer_model
 from dockmux.load_generator.client import Attempt, send
 from dockmux.load_generator.open_loop import OpenLoopLoad
 from dockmux.local_fleet.fleet_plan import load
@@ -138,7 +138,7 @@
         rest = {"Idempotency-Key": "a", "Dockmux-Resume-From": "2", "Dockmux-Resume-Of": _answer(lines[0])}
         told = [lines[0][-1:], say(made=made, body=body, edge=1, headers=rest)]
     ask = open_loop.next_request(mix_entry=made.plan.mix[0])
-    wanted = model.expected(request="ask/a", model="m", adapter=None, body=body)
+    wanted = answer_model.expected_answer(request="ask/a", model="m", adapter=None, body=body)
     assert ask.answers and 100 < len(given) < 600
     assert [row["text"] for row in given] == wanted[: len(given)]
     assert json.loads(told[0][0])["outcome"] == "changed" and not json.loads(told[0][0])["complete"]
--- a/dockmux/simulator/faults.py
+++ b/dockmux/simulator/faults.py
@@ -191,7 +191,7 @@
         made = self.fleet.current_engines[engine["engine"]]
         if made.host.alive:
             made.leaving = True
-            made.note(what="leaving")
+            made.record_event(what="leaving")
             self.leaving.append((self.world.now(), made.incarnation))
 
     def _engines_rolled(self, *, chance: random.Random, lasts: timedelta) -> None:
@@ -229,7 +229,7 @@
         for name in sorted(self.fleet.current_engines):
             made = self.fleet.current_engines[name]
             if made.host.alive:
-                made.lapse()
+                made.expire_kv_cache()
 
     # Processes and machines.
 
--- a/dockmux/simulator/rules.py
+++ b/dockmux/simulator/rules.py
@@ -250,7 +250,7 @@
 def memory(scene: Scene) -> list[Any]:
     """5. A reading engine answers with another request's tag."""
     for engine in scene.made.current_engines.values():
-        engine.mixed = True
+        engine.returns_previous_kv_handle = True
     tasks = [scene.ask(lane="plain")[2] for _ in range(4)]
     for task in tasks:
         task.wait()
@@ -570,10 +570,10 @@
 
 def _begins_anew(self: Any, **words: Any) -> Any:
     """A stand-in that does not heed from which piece it is to go on."""
-    return _write(self, **(words | {"fields": {**words["fields"], "from": 0}}))
+    return _stream_pieces(self, **(words | {"fields": {**words["fields"], "from": 0}}))
 
 
-_write = Engine._write
+_stream_pieces = Engine._stream_pieces
 
 RULES = [
     Rule(
@@ -611,7 +611,7 @@
         },
     ),
     Rule(
-        number=4, check="pieces_in_order", act=in_order, stirs=[(Engine, "_write", _begins_anew)],
+        number=4, check="pieces_in_order", act=in_order, stirs=[(Engine, "_stream_pieces", _begins_anew)],
         defences={"pieces are counted": [(Legs, "_relay", _counts_no_pieces)]},
     ),
     Rule(
