--- a/dockmux/load_generator/open_loop.py
+++ b/dockmux/load_generator/open_loop.py
@@ -149,7 +149,7 @@
             due = self.host.elapsed() - since
             end = due + duration
             while True:
-                requests_per_second = rate(due) if rate else self.plan.perSecond
+                requests_per_second = rate(due) if rate else self.plan.requests_per_second
                 due += timedelta(seconds=self.random.expovariate(requests_per_second))
                 if due >= (end if self.stop_at is None else min(end, self.stop_at)):
                     break
--- a/dockmux/load_generator/program.py
+++ b/dockmux/load_generator/program.py
@@ -33,7 +33,7 @@
     open_loop.run(
         duration=timedelta(seconds=parsed.seconds),
         since=host.elapsed(),
-        rate=lambda _: plan.perSecond * parsed.times,
+        rate=lambda _: plan.requests_per_second * parsed.times,
     )
     summary = summarize(attempts=open_loop.attempts)
     print(json.dumps(summary) if parsed.json else "\n".join(format_summary(summary=summary)))
--- a/dockmux/local_fleet/__init__.py
+++ b/dockmux/local_fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Runs a whole fleet of real processes on one machine, as the platform's stand-in."""
+"""Runs a whole fleet as real processes on one machine, in place of a deployment platform."""
--- a/dockmux/local_fleet/fleet.py
+++ b/dockmux/local_fleet/fleet.py
@@ -1,4 +1,4 @@
-"""A whole fleet of real processes on this machine; the platform's stand-in."""
+"""A fleet of real processes on this machine: starts, signals and stops them and sends operators' requests."""
 
 import json
 import os
@@ -16,13 +16,15 @@
 from dockmux.runtime.http_transport import fetch
 from dockmux.runtime.time_units import ms
 
-ASK_LIMIT = timedelta(seconds=3)
-READY_LIMIT = timedelta(seconds=60)
-STOP_LIMIT = timedelta(seconds=20)
+REQUEST_TIMEOUT = timedelta(seconds=3)
+READY_TIMEOUT = timedelta(seconds=60)
+STOP_TIMEOUT = timedelta(seconds=20)
 
 
 class Fleet:
-    """Invariant: `processes` are those started here and not yet waited for, by name."""
+    """The processes of a plan; settings, data, logs and engine records are files in `folder`.
+
+    Invariant: `processes` maps names to the processes that were started here and not yet waited for."""
 
     def __init__(self, *, host: Host, plan: FleetPlan, folder: str) -> None:
         self.host = host
@@ -39,19 +41,19 @@
         self.stop()
 
     def stop(self) -> dict[str, int]:
-        """Ends every process in order, by force only when it does not; their exit codes."""
-        exits = {}
+        """Terminates every process, kills those that exceed the timeout, and returns exit codes by name."""
+        exit_codes = {}
         for process in self.processes.values():
             process.send_signal(signal.SIGCONT)
             process.terminate()
         for name, process in self.processes.items():
             try:
-                exits[name] = process.wait(timeout=STOP_LIMIT.total_seconds())
+                exit_codes[name] = process.wait(timeout=STOP_TIMEOUT.total_seconds())
             except subprocess.TimeoutExpired:
                 process.kill()
-                exits[name] = process.wait()
+                exit_codes[name] = process.wait()
         self.processes.clear()
-        return exits
+        return exit_codes
 
     def _start(self, *, name: str, module: str, flags: list[str]) -> None:
         with open(self.folder / f"{name}.log", "ab") as log:
@@ -61,6 +63,7 @@
             )  # fmt: skip
 
     def start_daemon(self, *, daemon: dict[str, Any]) -> None:
+        """Writes the settings file of a core or edge and starts it; a core keeps its data folder."""
         name = daemon["name"]
         is_core = name.startswith("core")
         data_folder = str(self.folder / f"{name}.data") if is_core else ""
@@ -71,81 +74,89 @@
         self._start(name=name, module=module, flags=["--settings", str(path)])
 
     def start_engine(self, *, engine: dict[str, Any]) -> None:
+        """Starts an emulated engine that appends to its `.history` file."""
         flags = ["--name", engine["engine"], "--service", engine["service"], "--address", engine["address"]]
         flags += ["--phase", engine["phase"], "--record", str(self.folder / f"{engine['engine']}.history")]
         for key, value in self.plan.speed.items():
             flags += ["--" + key.replace("_", "-"), str(value)]
         self._start(name=engine["engine"], module="dockmux.engine_emulator.program", flags=flags)
 
-    def up(self) -> None:
+    def start_all(self) -> None:
+        """Starts engines first, then cores and edges."""
         for engine in self.plan.engines:
             self.start_engine(engine=engine)
         for daemon in [*self.plan.cores, *self.plan.edges]:
             self.start_daemon(daemon=daemon)
 
-    def send_signal(self, *, name: str, number: int) -> None:
-        self.processes[name].send_signal(number)
+    def send_signal(self, *, name: str, signal_number: int) -> None:
+        self.processes[name].send_signal(signal_number)
 
-    def end(self, *, name: str, number: int = signal.SIGKILL) -> None:
-        """Ends one process and waits for it."""
+    def kill(self, *, name: str, signal_number: int = signal.SIGKILL) -> None:
+        """Sends a signal, by default SIGKILL, to one process and waits until it has ended."""
         process = self.processes.pop(name)
-        process.send_signal(number)
+        process.send_signal(signal_number)
         process.wait()
 
-    def ask_core(self, *, method: str, path: str, fields: Any = None, headers: dict[str, str] | None = None) -> Any:
-        """Asks the cores in turn until one answers without a refusal for want of a majority."""
-        found = (0, None, {})
+    def request_core(self, *, method: str, path: str, fields: Any = None, headers: dict[str, str] | None = None) -> Any:
+        """Sends a request to the cores in turn until one answers with a status below 500.
+
+        Returns (status, body, headers) of that answer, else of the last one; status 0 if no core answered."""
+        answer = (0, None, {})
         for core in self.plan.cores:
             try:
-                found = fetch(
-                    host=self.host, address=core["http"], method=method, path=path, wait=ASK_LIMIT,
+                answer = fetch(
+                    host=self.host, address=core["http"], method=method, path=path, wait=REQUEST_TIMEOUT,
                     fields=fields, headers=headers,
                 )  # fmt: skip
             except (OSError, urllib3.exceptions.HTTPError):
                 continue
-            if found[0] < 500:
-                return found
-        return found
+            if answer[0] < 500:
+                return answer
+        return answer
 
     def put_engines(self) -> bool:
-        status, _, _ = self.ask_core(method="PUT", path="/engines", fields=self.plan.engine_list())
+        """Sends the engine list; returns whether it was accepted."""
+        status, _, _ = self.request_core(method="PUT", path="/engines", fields=self.plan.engine_list())
         return status == 200
 
     def put_config(self) -> tuple[int, Any]:
-        """Applies the plan's tree."""
-        status, told, _ = self.ask_core(method="GET", path="/config")
+        """Applies the plan's configuration tree; returns status and body."""
+        status, body, _ = self.request_core(method="GET", path="/config")
         if status != 200:
-            return status, told
-        headers = {"If-Match": f'"{told["mark"]}"'}
-        return self.ask_core(method="PUT", path="/config", fields=self.plan.tree, headers=headers)[:2]
+            return status, body
+        headers = {"If-Match": f'"{body["mark"]}"'}
+        return self.request_core(method="PUT", path="/config", fields=self.plan.tree, headers=headers)[:2]
 
-    def kept(self) -> list[dict[str, Any]] | None:
-        """The configurations that the control plane holds."""
-        status, told, _ = self.ask_core(method="GET", path="/history")
+    def stored_configs(self) -> list[dict[str, Any]] | None:
+        """Returns the configurations stored by the control plane (keys mark, tree), or None if no core answers."""
+        status, body, _ = self.request_core(method="GET", path="/history")
         if status != 200:
             return None
-        rows = [self.ask_core(method="GET", path=f"/config/{row['mark']}") for row in told["configs"]]
+        rows = [self.request_core(method="GET", path=f"/config/{row['mark']}") for row in body["configs"]]
         return [{"mark": row["mark"], "tree": row["tree"]} for status, row, _ in rows if status == 200]
 
     def wait_for(self, *, what: str) -> bool:
-        """Waits until the engine list is taken (what='engines') or every edge serves (what='serving')."""
-        limit = self.host.elapsed() + READY_LIMIT
-        while self.host.elapsed() < limit:
-            if self.put_engines() if what == "engines" else self.serving():
+        """Waits until the engine list is accepted (what='engines') or every edge serves (what='serving').
+
+        Returns False after READY_TIMEOUT."""
+        deadline = self.host.elapsed() + READY_TIMEOUT
+        while self.host.elapsed() < deadline:
+            if self.put_engines() if what == "engines" else self.all_edges_serving():
                 return True
             self.host.sleep(wait=ms(200))
         return False
 
-    def serving(self) -> bool:
+    def all_edges_serving(self) -> bool:
+        """Tells whether every running edge is ready and knows all engines."""
         for edge in self.plan.edges:
             if edge["name"] not in self.processes:
                 continue
             try:
-                status, told, _ = fetch(
-                    host=self.host, address=edge["http"], method="GET", path="/status", wait=ASK_LIMIT
+                status, body, _ = fetch(
+                    host=self.host, address=edge["http"], method="GET", path="/status", wait=REQUEST_TIMEOUT
                 )
             except (OSError, urllib3.exceptions.HTTPError):
                 return False
-            if status != 200 or not told["ready"] or len(told["engines"]) < len(self.plan.engines):
+            if status != 200 or not body["ready"] or len(body["engines"]) < len(self.plan.engines):
                 return False
         return True
--- a/dockmux/local_fleet/program.py
+++ b/dockmux/local_fleet/program.py
@@ -1,4 +1,4 @@
-"""The fleet runner's program."""
+"""The command `stage`: runs a fleet of real processes, or fault drills on one."""
 
 import argparse
 import signal
@@ -12,31 +12,34 @@
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Runs the subcommand; returns 1 if the fleet did not come up or a drill failed, else 0."""
     parser = argparse.ArgumentParser(
         prog="stage", description="Runs a whole fleet of real processes on this machine's loopback addresses."
     )
     commands = parser.add_subparsers(dest="command", required=True)
-    up = commands.add_parser("up", help="start the fleet and keep it until interrupted")
-    up.add_argument("fleet", help="the fleet file, as fleets/katalogwerk.yaml")
-    up.add_argument("--folder", default="", help="folder for settings, data and logs (default runs/<fleet>)")
-    up.add_argument("--apply", action="store_true", help="also apply the fleet file's configuration")
-    up.add_argument("--seconds", type=float, default=0, help="stop after so long (default: when interrupted)")
-    drilled = commands.add_parser("drill", help="one fault on real processes under load, then the checkers")
-    drilled.add_argument("fleet", help="the fleet file, as fleets/katalogwerk.yaml")
-    drilled.add_argument("kinds", nargs="*", default=KINDS, help=f"of: {', '.join(KINDS)} (default: all)")
-    drilled.add_argument("--folder", default="", help="folder for settings, data and logs")
+    up_parser = commands.add_parser("up", help="start the fleet and keep it running until interrupted")
+    up_parser.add_argument("fleet", help="fleet file, for example fleets/katalogwerk.yaml")
+    up_parser.add_argument("--folder", default="", help="folder for settings, data and logs (default runs/<fleet>)")
+    up_parser.add_argument("--apply", action="store_true", help="also apply the fleet file's configuration")
+    up_parser.add_argument("--seconds", type=float, default=0, help="stop after this time (default: when interrupted)")
+    drill_parser = commands.add_parser(
+        "drill", help="inject faults into real processes under load and check the results"
+    )
+    drill_parser.add_argument("fleet", help="fleet file, for example fleets/katalogwerk.yaml")
+    drill_parser.add_argument("kinds", nargs="*", default=KINDS, help=f"of: {', '.join(KINDS)} (default: all)")
+    drill_parser.add_argument("--folder", default="", help="folder for settings, data and logs")
     parsed = parser.parse_args(argv)
     host = Host(name="stage")
     plan = load(path=parsed.fleet)
     if parsed.command == "drill":
-        return _drill(host=host, plan=plan, folder=parsed.folder or f"runs/drill-{plan.name}", kinds=parsed.kinds)
+        return _run_drills(host=host, plan=plan, folder=parsed.folder or f"runs/drill-{plan.name}", kinds=parsed.kinds)
     folder = parsed.folder or f"runs/{plan.name}"
-    asked: list[int] = []
-    signal.signal(signal.SIGTERM, lambda number, _: asked.append(number))
-    signal.signal(signal.SIGINT, lambda number, _: asked.append(number))
-    began = host.elapsed()
+    received_signals: list[int] = []
+    signal.signal(signal.SIGTERM, lambda number, _: received_signals.append(number))
+    signal.signal(signal.SIGINT, lambda number, _: received_signals.append(number))
+    started_at = host.elapsed()
     with Fleet(host=host, plan=plan, folder=folder) as fleet:
-        fleet.up()
+        fleet.start_all()
         if not fleet.wait_for(what="engines"):
             print(f"the core did not come up; see {folder}/core-0.log", file=sys.stderr)
             return 1
@@ -52,24 +55,24 @@
         else:
             print(f"next: DOCKMUX_CORES={cores} edict apply {folder}/tree.json")
         sys.stdout.flush()
-        end = began + timedelta(seconds=parsed.seconds) if parsed.seconds else None
-        while not asked and (end is None or host.elapsed() < end):
+        end = started_at + timedelta(seconds=parsed.seconds) if parsed.seconds else None
+        while not received_signals and (end is None or host.elapsed() < end):
             host.sleep(wait=timedelta(milliseconds=100))
     return 0
 
 
-def _drill(*, host: Host, plan: FleetPlan, folder: str, kinds: list[str]) -> int:
+def _run_drills(*, host: Host, plan: FleetPlan, folder: str, kinds: list[str]) -> int:
     failed = 0
     for kind in kinds:
-        found = drill(host=host, plan=plan, folder=folder, kind=kind)
-        state = "FAILED" if found.wrong else "ok"
-        print(f"{plan.name} {kind}: {state}, {found.summary['outcomes']}, recovered in {found.recoveredMs} ms")
-        if found.told:
-            print(f"  operators were told {sorted(found.told)}")
-        for name, wrong in found.wrong.items():
-            print(f"  {name}: {len(wrong)}: {wrong[:3]}")
+        result = drill(host=host, plan=plan, folder=folder, kind=kind)
+        state = "FAILED" if result.violations else "ok"
+        print(f"{plan.name} {kind}: {state}, {result.summary['outcomes']}, recovered in {result.recovery_ms} ms")
+        if result.config_statuses:
+            print(f"  operators were told {sorted(result.config_statuses)}")
+        for name, violations in result.violations.items():
+            print(f"  {name}: {len(violations)}: {violations[:3]}")
         sys.stdout.flush()
-        failed += bool(found.wrong)
+        failed += bool(result.violations)
     return 1 if failed else 0
 
 
--- a/dockmux/simulator/day.py
+++ b/dockmux/simulator/day.py
@@ -86,7 +86,7 @@
             told=doer.told,
             leaving=doer.leaving,
             sites={edge["name"]: edge["site"] for edge in plan.edges},
-            perSecond=plan.perSecond,
+            perSecond=plan.requests_per_second,
             healed=healed,
             lasted=min(lasted, began + LEAD_IN + lasts + QUIET),
             kept=kept,
--- a/dockmux/simulator/faults.py
+++ b/dockmux/simulator/faults.py
@@ -138,7 +138,7 @@
 
     def wanted(self, _: timedelta) -> float:
         """The rate of arrivals now."""
-        return self.fleet.plan.perSecond * self.rate
+        return self.fleet.plan.requests_per_second * self.rate
 
     def _mended(self) -> None:
         """The machines are back: from here on the time to recover counts."""
--- a/dockmux/simulator/fleet.py
+++ b/dockmux/simulator/fleet.py
@@ -157,7 +157,7 @@
 
 @contextmanager
 def fleet(*, plan: FleetPlan, seed: int) -> Iterator[SimFleet]:
-    with World(seed=seed, linkUs=plan.linkUs).open() as world:
+    with World(seed=seed, linkUs=plan.link_us).open() as world:
         yield SimFleet(world=world, plan=plan)
 
 
--- a/dockmux/simulator/rules.py
+++ b/dockmux/simulator/rules.py
@@ -437,7 +437,7 @@
     """12. Everything is restarted at once, under load; the wall clocks of the cores are days behind by then, and the
     tail of the chain comes last, so that the source begins before it hears what has been acknowledged."""
     task = scene.load(lasts=24 * SECOND)
-    scene.perSecond = scene.made.plan.perSecond
+    scene.perSecond = scene.made.plan.requests_per_second
     scene.sleep(3 * SECOND)
     cores = [core["name"] for core in scene.made.plan.cores]
     for name in cores:
--- a/dockmux/simulator/strain.py
+++ b/dockmux/simulator/strain.py
@@ -43,7 +43,7 @@
         made.begin()
         eventlet.sleep(2)
         open_loop = OpenLoopLoad(host=made.outside, plan=plan, seed=seed)
-        open_loop.run(duration=lasts, since=timedelta(), rate=lambda _: plan.perSecond * times)
+        open_loop.run(duration=lasts, since=timedelta(), rate=lambda _: plan.requests_per_second * times)
         rows = [row for engine in made.engines for row in engine.history if row["what"] == "prefilled"]
         spans: dict[str, list[timedelta]] = {}
         for edge in plan.edges:
