--- a/dockmux/simulator/checks.py
+++ b/dockmux/simulator/checks.py
@@ -56,7 +56,7 @@
         attempts[f"{attempt.lane}/{attempt.identity}"].append(attempt)
     violations = []
     for request, of_request in attempts.items():
-        of_request.sort(key=lambda attempt: attempt.attempt)
+        of_request.sort(key=lambda attempt: attempt.number)
         for index, attempt in enumerate(of_request):
             next_attempt_at = (
                 of_request[index + 1].intended if index + 1 < len(of_request) else truth.ended_at + 60 * SECOND
@@ -72,7 +72,7 @@
     return [
         f"{attempt.lane}/{attempt.identity}: {text}"
         for attempt in truth.attempts
-        for text in attempt.wrong
+        for text in attempt.violations
         if any(phrase in text for phrase in phrases)
     ]
 
@@ -321,7 +321,7 @@
             for edge, since, until in truth.frozen_edges
             if edge == attempt.edge and since < attempt.ended > attempt.intended < until
         ]
-        if "no outcome" in " ".join(attempt.wrong) and not frozen:
+        if "no outcome" in " ".join(attempt.violations) and not frozen:
             violations.append(f"{attempt.lane}/{attempt.identity}: no outcome by the horizon and three seconds")
     return violations
 
@@ -398,9 +398,9 @@
         case "refused_never_runs":
             truth.attempts[5].kind = "busy"
         case "answers_are_own_and_whole":
-            truth.attempts[0].wrong.append("piece 3 is not of this answer")
+            truth.attempts[0].violations.append("piece 3 is not of this answer")
         case "pieces_in_order":
-            truth.attempts[0].wrong.append("piece 3 where 2 was due")
+            truth.attempts[0].violations.append("piece 3 where 2 was due")
         case "memory_is_own":
             truth.engine_events.append(
                 _engine_call(at=end, what="decode", request="ask/r2", memory_of="ask/r1", start=0)
@@ -424,7 +424,7 @@
         case "service_returns":
             truth.attempts[:] = [attempt for attempt in truth.attempts if not 20 * SECOND < attempt.ended < 34 * SECOND]
         case "everyone_is_answered":
-            truth.attempts[0].wrong.append("no outcome by the horizon and three seconds")
+            truth.attempts[0].violations.append("no outcome by the horizon and three seconds")
         case _:
             raise AssertionError(name)
 
@@ -489,11 +489,11 @@
     twice = [change(status=200, mark=2), change(status=200, mark=2, tree={**other, "sites": {}})]
     assert _failed_checks(changes=twice, kept=[{"mark": 2, "tree": twice[1].tree}]) == ["configurations_are_kept"]
     # A repeat is refused although an earlier attempt ran.
-    repeat = Attempt(lane="ask", identity="r5", edge="e", intended=end, kind="busy", ended=end, attempt=2)
+    repeat = Attempt(lane="ask", identity="r5", edge="e", intended=end, kind="busy", ended=end, number=2)
     assert _failed_checks(attempts=[repeat]) == ["refused_never_runs"]
     # A missing outcome is found, but not if the edge itself was suspended meanwhile.
     silent = Attempt(
-        lane="ask", identity="x", edge="e", intended=end, ended=end + 9 * SECOND, wrong=["no outcome by then"]
+        lane="ask", identity="x", edge="e", intended=end, ended=end + 9 * SECOND, violations=["no outcome by then"]
     )
     assert _failed_checks(attempts=[silent]) == ["everyone_is_answered"]
     assert _failed_checks(attempts=[silent], frozen=[("e", end + SECOND, end + 8 * SECOND)]) == []
--- a/dockmux/simulator/rules.py
+++ b/dockmux/simulator/rules.py
@@ -97,25 +97,25 @@
         if edge is not None:
             open_loop = OpenLoopLoad(host=self.sim.outside, plan=dataclasses.replace(
                 self.sim.plan, edges=[self.sim.plan.edges[edge]]), seed=2 + edge)  # fmt: skip
-            open_loop.seen = self.open_loop.seen
-        return eventlet.spawn(open_loop.run, lasts=duration, since=timedelta())
+            open_loop.attempts = self.open_loop.attempts
+        return eventlet.spawn(open_loop.run, duration=duration, since=timedelta())
 
     def send_request(
         self, *, lane: str, edge: int = 0, pieces: int = 6, prompt: str = "", repeat_of: Any = None
     ) -> Any:
         """Sends a new request or another attempt of one; returns the request, the attempt and the sending task."""
         kind = next(kind for kind in self.sim.plan.mix if kind["lane"] == lane)
-        request = repeat_of or self.open_loop.ask(kind={**kind, "pieces": [pieces, pieces]})
+        request = repeat_of or self.open_loop.next_request(mix_entry={**kind, "pieces": [pieces, pieces]})
         if prompt:
             request = dataclasses.replace(request, body={**request.body, "prompt": prompt})
-        request = dataclasses.replace(request, edge=self.sim.plan.edges[edge]["http"], numbered=False)
-        attempt_number = 1 + sum(earlier.identity == request.identity for earlier in self.open_loop.seen)
+        request = dataclasses.replace(request, edge=self.sim.plan.edges[edge]["http"], sends_attempt_number=False)
+        attempt_number = 1 + sum(earlier.identity == request.identity for earlier in self.open_loop.attempts)
         now = self.sim.world.now()
         attempt = Attempt(
-            lane=request.lane, identity=request.identity, edge=request.edge, intended=now, attempt=attempt_number
+            lane=request.lane, identity=request.identity, edge=request.edge, intended=now, number=attempt_number
         )
-        self.open_loop.seen.append(attempt)
-        task = eventlet.spawn(send, host=self.sim.outside, ask=request, seen=attempt, since=timedelta())
+        self.open_loop.attempts.append(attempt)
+        task = eventlet.spawn(send, host=self.sim.outside, request=request, attempt=attempt, since=timedelta())
         return request, attempt, task
 
     def cut_links(self, *, names: list[str], others: list[str]) -> set[tuple[str, str]]:
@@ -167,7 +167,7 @@
                 break
             self.sleep(SECOND / 2)
         return GroundTruth(
-            attempts=self.open_loop.seen, engine_events=collect_engine_events(engines=self.sim.engines),
+            attempts=self.open_loop.attempts, engine_events=collect_engine_events(engines=self.sim.engines),
             config_changes=self.fault_injector.config_changes, leave_notices=self.fault_injector.leave_notices,
             site_by_edge={edge["name"]: edge["site"] for edge in self.sim.plan.edges},
             requests_per_second=self.requests_per_second, repaired_at=self.repaired_at,
@@ -251,8 +251,10 @@
     task.wait()
     one, _, task = harness.send_request(lane="plain")
     task.wait()
-    kind = next(kind for kind in harness.sim.plan.mix if kind["lane"] == "plain")
-    other = dataclasses.replace(harness.open_loop.ask(kind={**kind, "pieces": [6, 6]}), identity=one.identity)
+    mix_entry = next(mix_entry for mix_entry in harness.sim.plan.mix if mix_entry["lane"] == "plain")
+    other = dataclasses.replace(
+        harness.open_loop.next_request(mix_entry={**mix_entry, "pieces": [6, 6]}), identity=one.identity
+    )
     _, second, task = harness.send_request(lane="plain", repeat_of=other)
     task.wait()
     return [event] * (cut_attempt.count > 0) * (second.status in (200, 409))
@@ -273,7 +275,7 @@
 def memory(harness: FleetHarness) -> list[Any]:
     """5. A prefill engine returns the KV cache handle of another request."""
     for engine in harness.sim.current_engines.values():
-        engine.mixed = True
+        engine.returns_previous_kv_handle = True
     tasks = [harness.send_request(lane="plain")[2] for _ in range(4)]
     for task in tasks:
         task.wait()
@@ -305,7 +307,7 @@
     harness.fault_injector.leave_notices.append((harness.sim.world.now(), engine.incarnation))
     before = len(harness.engine_events(what="decode"))
     harness.start_load(duration=6 * SECOND).wait()
-    return [before] * (len(harness.open_loop.seen) > 200)
+    return [before] * (len(harness.open_loop.attempts) > 200)
 
 
 def honoured(harness: FleetHarness) -> list[Any]:
@@ -463,7 +465,7 @@
     """12. Everything is restarted at once under load, with the wall clocks of the cores three days behind. The tail of
     the chain starts last, so that the clock source starts before it learns what was acknowledged."""
     task = harness.start_load(duration=24 * SECOND)
-    harness.requests_per_second = harness.sim.plan.perSecond
+    harness.requests_per_second = harness.sim.plan.requests_per_second
     harness.sleep(3 * SECOND)
     cores = [core["name"] for core in harness.sim.plan.cores]
     for name in cores:
@@ -478,8 +480,8 @@
     harness.sleep(19 * SECOND)
     truth_at_end = harness.ground_truth()
     task.wait()
-    harness.ground_truth = lambda: dataclasses.replace(truth_at_end, attempts=harness.open_loop.seen)
-    return [attempt for attempt in harness.open_loop.seen if attempt.kind == "unreachable"]
+    harness.ground_truth = lambda: dataclasses.replace(truth_at_end, attempts=harness.open_loop.attempts)
+    return [attempt for attempt in harness.open_loop.attempts if attempt.kind == "unreachable"]
 
 
 # Patches that remove the defences, one each.
@@ -615,10 +617,10 @@
 
 def _decode_from_first_piece(self: Any, **kwargs: Any) -> Any:
     """Ignores the piece from which the engine should resume."""
-    return _write(self, **(kwargs | {"fields": {**kwargs["fields"], "from": 0}}))
+    return _stream_pieces(self, **(kwargs | {"fields": {**kwargs["fields"], "from": 0}}))
 
 
-_write = Engine._write
+_stream_pieces = Engine._stream_pieces
 
 RULES = [
     Rule(
@@ -660,7 +662,7 @@
     ),
     Rule(
         number=4, check="pieces_in_order", scenario=in_order,
-        setup_patches=[(Engine, "_write", _decode_from_first_piece)],
+        setup_patches=[(Engine, "_stream_pieces", _decode_from_first_piece)],
         defences={"pieces are counted": [(EngineCalls, "_relay", _relay_without_piece_numbers)]},
     ),
     Rule(
