--- a/dockmux/platform_proxy/request_record.py
+++ b/dockmux/platform_proxy/request_record.py
@@ -60,7 +60,9 @@
 
     def ends_at(self) -> timedelta:
         """When nobody waits for it any more."""
-        return self.until if self.begun else min(self.until, self.began + self.route.patience, self.answer_by)
+        return (
+            self.until if self.begun else min(self.until, self.began + self.route.first_event_timeout, self.answer_by)
+        )
 
     def wait_over(self) -> None:
         self.engine, self.wire = "", None
@@ -69,7 +71,7 @@
 def note_left(*, host: Host, records: Collection[RequestRecord]) -> list[RequestRecord]:
     """Marks the requests whose clients have closed their connections since the last look, and gives these."""
     by_client = {record.client: record for record in records if record.client is not None and not record.left}
-    left = [by_client[sock] for sock in host.closed(socks=by_client)] if by_client else []
+    left = [by_client[sock] for sock in host.closed_by_peer(socks=by_client)] if by_client else []
     for record in left:
         record.left = True
     return left
--- a/dockmux/runtime/settings_type.py
+++ b/dockmux/runtime/settings_type.py
@@ -12,7 +12,7 @@
 
 class LogLevel(StrEnum):
     """
-    least level that is logged
+    lowest level that is logged
     """
     debug = 'debug'
     info = 'info'
@@ -23,6 +23,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Settings:
+    """
+    Settings of a daemon.
+    """
     name: str
     site: str
     address: str
--- a/dockmux/simulator/clock_measurement.py
+++ b/dockmux/simulator/clock_measurement.py
@@ -46,7 +46,7 @@
 
 
 def _source_changes(*, sim: SimFleet) -> list[timedelta]:
-    return [at for at, _, log_event, _ in sim.world.logged if log_event is LogEvent.SOURCE_TAKEN]
+    return [at for at, _, log_event, _ in sim.world.logged if log_event is LogEvent.TIME_SOURCE_STARTED]
 
 
 def measure(*, fleet_file: str, seed: int, duration: timedelta = 600 * SECOND) -> ClockMeasurement:
--- a/dockmux/simulator/stream.py
+++ b/dockmux/simulator/stream.py
@@ -66,8 +66,8 @@
 
     Invariants: `inbox` holds the data received and not read, in order; `in_flight` the data sent and not delivered, in
     order, with None for the FIN; after `ended` (FIN received or reading shut down) nothing more arrives; after `broken`
-    (reset or timed out) every use fails; `write_shut` is set once this end has sent its FIN. `unacked`, if set, is the
-    longest time that undelivered data is retransmitted (TCP_USER_TIMEOUT)."""
+    (reset or timed out) every use fails; `write_shut` is set once this end has sent its FIN. `user_timeout`, if set,
+    is the longest time that undelivered data is retransmitted (TCP_USER_TIMEOUT)."""
 
     family = socket.AF_INET
 
@@ -89,7 +89,7 @@
         self.write_shut = False
         self.waiters: list[Any] = []
         self.timeout: float | None = None
-        self.unacked: timedelta | None = None
+        self.user_timeout: timedelta | None = None
         self.blocked_since_s = 0.0
         self._io_refs = 0
         host.streams.append(self)
@@ -180,13 +180,13 @@
         self.world.hub.schedule_in(owner=None, seconds=seconds, call=self._deliver)
 
     def _deliver(self) -> None:
-        """Delivers all data in flight; while the path is blocked, retries up to `unacked` or MAX_RETRANSMITS."""
+        """Delivers all data in flight; while the path is blocked, retries up to `user_timeout` or MAX_RETRANSMITS."""
         if self.world.blocked(source=self.address[0], target=self.peer_address[0]):
             self.retransmits += 1
             if self.retransmits == 1:
                 self.blocked_since_s = self.world.hub.now_s
             blocked_s = self.world.hub.now_s - self.blocked_since_s
-            dropped = self.unacked is not None and blocked_s >= self.unacked.total_seconds()
+            dropped = self.user_timeout is not None and blocked_s >= self.user_timeout.total_seconds()
             if dropped or self.retransmits > MAX_RETRANSMITS:
                 self.in_flight.clear()
                 self.in_flight_bytes = 0
