--- a/dockmux/simulator/stream.py
+++ b/dockmux/simulator/stream.py
@@ -66,8 +66,8 @@
 
     Invariants: `inbox` holds the data received and not read, in order; `in_flight` the data sent and not delivered, in
     order, with None for the FIN; after `ended` (FIN received or reading shut down) nothing more arrives; after `broken`
-    (reset or timed out) every use fails; `write_shut` is set once this end has sent its FIN. `unacked`, if set, is the
-    longest time that undelivered data is retransmitted (TCP_USER_TIMEOUT)."""
+    (reset or timed out) every use fails; `write_shut` is set once this end has sent its FIN. `user_timeout`, if set,
+    is the longest time that undelivered data is retransmitted (TCP_USER_TIMEOUT)."""
 
     family = socket.AF_INET
 
@@ -180,7 +180,7 @@
         self.world.hub.schedule_in(owner=None, seconds=seconds, call=self._deliver)
 
     def _deliver(self) -> None:
-        """Delivers all data in flight; while the path is blocked, retries up to `unacked` or MAX_RETRANSMITS."""
+        """Delivers all data in flight; while the path is blocked, retries up to `user_timeout` or MAX_RETRANSMITS."""
         if self.world.blocked(source=self.address[0], target=self.peer_address[0]):
             self.retransmits += 1
             if self.retransmits == 1:
