--- a/dockmux/control/chain_replica.py
+++ b/dockmux/control/chain_replica.py
@@ -147,11 +147,11 @@
         if not self.agreement.is_head():
             return self._forward_to_head(head=view.chain[0], change=change, relayed=relayed)
         if not self.agreement.holds_lease():
-            return Outcome(kind=OutcomeKind.NO_MAJORITY, detail={"why": "the head holds no lease"})
+            return Outcome(kind=OutcomeKind.NO_MAJORITY, detail={"why": "the head holds no permit"})
         if not self._clock_suffices(change=change):
             return Outcome(kind=OutcomeKind.NOT_READY, detail={"why": "the head's clock is not synchronized"})
         if len(view.chain) < self.settings.copies:
-            why = f"the chain has {len(view.chain)} members, but a change needs {self.settings.copies} copies"
+            why = f"{len(view.chain)} copies only: {self.settings.copies} must hold a change"
             return Outcome(kind=OutcomeKind.NO_MAJORITY, detail={"why": why})
         write = Write(change=change)
         self.pending.append(write)
@@ -162,10 +162,8 @@
         except TimeoutError:
             if write in self.pending:
                 self.pending.remove(write)
-                return Outcome(
-                    kind=OutcomeKind.NO_MAJORITY, detail={"why": "the head did not process the change in time"}
-                )
-            return Outcome(kind=OutcomeKind.UNKNOWN, detail={"why": "the change was not acknowledged in time"})
+                return Outcome(kind=OutcomeKind.NO_MAJORITY, detail={"why": "not taken up in time"})
+            return Outcome(kind=OutcomeKind.UNKNOWN, detail={"why": "not acknowledged in time"})
 
     def _clock_suffices(self, *, change: dict[str, Any]) -> bool:
         """Whether this head's clock is good enough for the change. A configuration with an operator's version is in
@@ -251,7 +249,7 @@
                     self.sync_entries(entries=entries)
             except OSError as error:
                 for write in answered:
-                    why = {"why": "the state that the change was validated against could not be stored"}
+                    why = {"why": "what it was judged by could not be stored"}
                     write.done.send(Outcome(kind=OutcomeKind.NO_MAJORITY, detail=why))
                 kind = OutcomeKind.UNKNOWN if isinstance(error, AppendOutcomeUnknown) else OutcomeKind.DISK_FULL
                 for write in accepted:
@@ -294,9 +292,7 @@
             if held is not None:
                 return Outcome(kind=OutcomeKind.CLAIMED, detail={"holder": held})
             if len(tentative.claims) >= self.settings.claim_limit:
-                return Outcome(
-                    kind=OutcomeKind.BUSY, detail={"why": "the limit on stored claims is reached"}, retry_ms=60_000
-                )
+                return Outcome(kind=OutcomeKind.BUSY, detail={"why": "claims are full"}, retry_ms=60_000)
         return None
 
     # Replication.
@@ -416,9 +412,7 @@
         self.waiting = [write for write in self.waiting if write.index > mark]
         for write in done:
             if len(view.chain) < self.settings.copies:
-                why = {
-                    "why": f"the chain has {len(view.chain)} members, but a change needs {self.settings.copies} copies"
-                }
+                why = {"why": f"{len(view.chain)} copies only: {self.settings.copies} must hold a change"}
                 write.done.send(Outcome(kind=OutcomeKind.UNKNOWN, detail=why))
             else:
                 write.done.send(write.verdict or self._accepted_outcome(write=write))
--- a/dockmux/control/core.py
+++ b/dockmux/control/core.py
@@ -243,7 +243,7 @@
         if path == "/status":
             return exchange.reply(status=200, fields=self.status())
         if not self.chain.confirm_read():
-            why = {"why": "the tail did not confirm under its lease"}
+            why = {"why": "the tail did not confirm under its permit"}
             return exchange.respond(outcome=Outcome(kind=OutcomeKind.NO_MAJORITY, detail=why))
         return self._read(exchange=exchange)
 
--- a/dockmux/control/version_check.py
+++ b/dockmux/control/version_check.py
@@ -29,9 +29,7 @@
         return _accepted_before(number=accepted.number, tentative=tentative)
     current = tentative.config.number if tentative.config else 0
     if based_on != current and not known:
-        return Outcome(
-            kind=OutcomeKind.UNKNOWN, detail={"why": "too old: whether it was accepted is no longer recorded"}
-        )
+        return Outcome(kind=OutcomeKind.UNKNOWN, detail={"why": "too old: it is no longer known whether it was taken"})
     if based_on != current:
         return Outcome(kind=OutcomeKind.MARK_OUTDATED, detail={"mark" if version is None else "version": current})
     if version is not None and version <= current:
--- a/dockmux/native_proxy/edge.py
+++ b/dockmux/native_proxy/edge.py
@@ -208,11 +208,11 @@
             if not self.gossip.ready():
                 return Outcome(kind=OutcomeKind.NOT_READY, detail={"why": "the clock is not synchronized"})
             if not self.config_subscription.lease_valid():
-                return Outcome(kind=OutcomeKind.NOT_READY, detail={"why": "no recent contact with the control plane"})
+                return Outcome(kind=OutcomeKind.NOT_READY, detail={"why": "no fresh news from the control plane"})
             if not self.config_subscription.configs:
                 return Outcome(kind=OutcomeKind.NOT_READY, detail={"why": "no configuration yet"})
             if self.host.elapsed() >= limit:
-                return Outcome(kind=OutcomeKind.NOT_READY, detail={"why": "a new configuration is being activated"})
+                return Outcome(kind=OutcomeKind.NOT_READY, detail={"why": "a configuration is being taken up"})
             self.host.sleep(wait=ms(10))
 
     def _find_or_create_record(
@@ -247,7 +247,7 @@
                 return existing
             if existing.outcome is None:
                 return Outcome(
-                    kind=OutcomeKind.BUSY, detail={"why": "a stream from a later piece is open for this identity"}
+                    kind=OutcomeKind.BUSY, detail={"why": "this identity is being answered from a later piece"}
                 )
             new.claimed = existing.claimed
             new.known_unsent = existing.runs_once and not existing.sent
@@ -256,7 +256,7 @@
             why = "Dockmux-Resume-Of does not name the answer that would be given now: begin anew"
             return Outcome(kind=OutcomeKind.CHANGED, detail={"why": why})
         if self.table.open >= self.settings.record_limit:
-            return Outcome(kind=OutcomeKind.BUSY, detail={"why": "too many open requests"})
+            return Outcome(kind=OutcomeKind.BUSY, detail={"why": "too many requests are open here"})
         if not any(
             engine["service"] == values["service"] and self.usage_gossip.table.recent(engine=engine["engine"])
             for engine in self.config_subscription.engines
@@ -381,6 +381,6 @@
         }  # fmt: skip
 
 
-ALREADY_CLAIMED = {"why": "another attempt was admitted; its outcome is unknown"}
+ALREADY_CLAIMED = {"why": "it was taken on before; what became of it is not known"}
 # Outcomes of a claim's holder that are passed on to a repeated request; any other becomes `unknown`.
 ATTACH_KINDS = {OutcomeKind.FAILED, OutcomeKind.UNKNOWN, OutcomeKind.BAD_IDENTITY}
--- a/dockmux/native_proxy/engine_calls.py
+++ b/dockmux/native_proxy/engine_calls.py
@@ -66,7 +66,7 @@
             if self._expected_kv_handle(record=record, connection=connection) != {
                 k: handle[k] for k in KV_HANDLE_FIELDS
             }:
-                raise CallFailed("the KV cache handle is not that of this request")
+                raise CallFailed("the memory's tag is not the one asked for")
             record.kv_handle, record.prefill_engine = handle, engine
 
     def _expected_kv_handle(self, *, record: RequestRecord, connection: Any) -> dict[str, Any]:
@@ -104,23 +104,23 @@
         handle_echoed = False
         for line in response:
             if len(line) > MAX_LINE_BYTES or expected > MAX_PIECES:
-                raise CallFailed("the answer has too many pieces or too long a line")
+                raise CallFailed("the answer is too large")
             reply = json.loads(line)
             if not handle_echoed:
                 if reply.get("memory") != record.kv_handle:
-                    raise CallFailed("the engine decodes from another KV cache")
+                    raise CallFailed("the engine goes on from another memory")
                 handle_echoed = True
                 record.stage_ends["hand_over"] = self.host.elapsed()
             elif "end" in reply:
                 if reply["count"] != expected or response.read():
-                    raise CallFailed("the end of the answer doesn't match its pieces")
+                    raise CallFailed("the answer's end does not fit its pieces")
                 return
             else:
                 if reply["n"] != expected or reply["request"] != record.key:
-                    raise CallFailed(f"received piece {reply['n']}, expected {expected}")
+                    raise CallFailed(f"piece {reply['n']} came where {expected} was due")
                 expected += 1
                 record.add_piece(text=reply["text"], stamp_us=instant_us(self.clock.issue_time()))
-        raise CallFailed("the answer ended early")
+        raise CallFailed("the answer was cut")
 
     def _raise_for_status(self, *, response: Any, reply: Any) -> None:
         if response.status == 410:
@@ -128,7 +128,7 @@
         if response.status in (409, 503):
             raise CallRejected(reply.get("why", ""))
         if response.status != 200:
-            raise CallFailed(f"the engine answered with status {response.status}")
+            raise CallFailed(f"the engine answered {response.status}")
 
     def _engine_call(self, *, record: RequestRecord, engine: dict[str, Any], phase: str) -> "_EngineCall":
         return _EngineCall(calls=self, record=record, engine=engine, phase=phase)
--- a/dockmux/native_proxy/request_table.py
+++ b/dockmux/native_proxy/request_table.py
@@ -126,7 +126,7 @@
                 if record.task is not None:
                     record.task.kill()
             elif record.readers == 0 and not record.runs_once and record.task is not None:
-                self.end(record=record, kind=OutcomeKind.FAILED, why="the client has disconnected")
+                self.end(record=record, kind=OutcomeKind.FAILED, why="the user agent has gone")
                 record.task.kill()
 
     def shed(self) -> None:
@@ -145,9 +145,7 @@
                 continue
             retry_ms = int(min(max(wait.total_seconds(), 1), 30) * 1000 * self.host.random.uniform(1, 1.5))
             kind = OutcomeKind.FAILED if record.sent else OutcomeKind.BUSY
-            self.end(
-                record=record, kind=kind, retry_ms=retry_ms, why="the deadline cannot be met under the current load"
-            )
+            self.end(record=record, kind=kind, retry_ms=retry_ms, why="it would not be answered in time")
 
     def start_claims(self) -> None:
         """Starts the claim of each request on a lane that runs requests once."""
@@ -245,7 +243,7 @@
                     kind, detail = OutcomeKind(reply.kind), reply.detail
             except OSError:
                 # The claim may have been stored, but this daemon has sent nothing and won't send anything.
-                kind, detail = OutcomeKind.NOT_READY, {"why": "no reply to the claim"}
+                kind, detail = OutcomeKind.NOT_READY, {"why": "the claim was not answered"}
         if record.outcome is not None:
             return
         held_by_this_daemon = kind is OutcomeKind.CLAIMED and detail["holder"] == self.holder and record.known_unsent
@@ -292,7 +290,7 @@
             self.end(
                 record=record,
                 kind=OutcomeKind.FAILED,
-                why="the lane runs requests once, and this one would have to be sent again",
+                why="a leg run once would have to be sent again",
             )
             return False
         service, now = record.lane_settings["service"], self.host.elapsed()
@@ -302,7 +300,7 @@
             percent=extra_percent(tree=config.tree, service=service),
             now=now,
         ):
-            self.end(record=record, kind=OutcomeKind.FAILED, why="the retry budget is exhausted")
+            self.end(record=record, kind=OutcomeKind.FAILED, why="no extra send is left")
             return False
         record.sends[phase] += 1
         record.sent = True
@@ -316,14 +314,14 @@
             self.end(
                 record=record,
                 kind=OutcomeKind.CHANGED,
-                why="the lane's model or adapter has changed: start a new request",
+                why="the lane's model or adapter was changed: begin anew",
             )
             return
         if values["run"] == "once" and not record.runs_once and record.sent:
             self.end(
                 record=record,
                 kind=OutcomeKind.FAILED,
-                why="the lane now runs requests once, and this one was already sent",
+                why="the lane is now run once, and it was sent already",
             )
             return
         if changed:
@@ -349,10 +347,10 @@
             step = Step.PREFILL_QUEUED if prefill or record.kv_handle is None else Step.DECODE_QUEUED
             self._requeue(record=record, step=Step.CLAIM_QUEUED if record.runs_once and not record.claimed else step)
         except CallRejected as error:
-            why = f"the engine rejected the call: {error}"
+            why = f"the engine would not: {error}"
             self._retry_or_fail(record=record, engine=name, prefill=prefill, kind=OutcomeKind.FAILED, why=why)
         except KvCacheExpired:
-            why = "the prompt's KV cache has expired"
+            why = "the prompt's memory lapsed"
             self._retry_or_fail(record=record, engine=name, prefill=True, kind=OutcomeKind.FAILED, why=why)
         except CallFailed as error:
             kind = OutcomeKind.UNKNOWN if record.runs_once else OutcomeKind.FAILED
--- a/dockmux/platform_proxy/connection_pool.py
+++ b/dockmux/platform_proxy/connection_pool.py
@@ -101,10 +101,10 @@
                 connection.connect()
         except ConnectionRefusedError as error:
             connection.close()
-            raise ConnectError(reason=f"{engine} refused the connection: {error}", refused=True) from None
+            raise ConnectError(reason=f"{engine} refused: {error}", refused=True) from None
         except (OSError, urllib3.exceptions.HTTPError) as error:
             connection.close()
-            raise ConnectError(reason=f"{engine} is unreachable: {error}") from None
+            raise ConnectError(reason=f"{engine} cannot be reached: {error}") from None
         self.opened += 1
         return connection
 
--- a/dockmux/platform_proxy/dispatcher.py
+++ b/dockmux/platform_proxy/dispatcher.py
@@ -113,25 +113,25 @@
         """The request's completion if it may be sent to no further engine, else None. `committed` means that the client
         has part of an answer that no other engine can continue."""
         if self._client_disconnected(record=record):
-            return Completion(kind=OutcomeKind.CLIENT_LEFT, reason="the client has disconnected")
+            return Completion(kind=OutcomeKind.CLIENT_LEFT, reason="its client has left")
         if record.may_have_run and not record.route.repeatable:
-            return Completion(kind=OutcomeKind.FAILED, reason=record.reason or "the engine's answer broke off")
+            return Completion(kind=OutcomeKind.FAILED, reason=record.reason or "the engine broke off")
         if record.may_have_run and committed:
-            return Completion(kind=OutcomeKind.FAILED, reason=record.reason or "the engine's answer broke off")
+            return Completion(kind=OutcomeKind.FAILED, reason=record.reason or "the engine broke off")
         if self._expired(record=record):
             return Completion(
-                kind=OutcomeKind.UNKNOWN if record.may_have_run else OutcomeKind.BUSY, reason="the deadline has passed"
+                kind=OutcomeKind.UNKNOWN if record.may_have_run else OutcomeKind.BUSY, reason="its time is over"
             )
         if record.sends >= record.route.max_sends:
             kind = OutcomeKind.FAILED if record.may_have_run else OutcomeKind.BUSY
-            return Completion(kind=kind, reason=record.reason or "all tries of the route are used up")
+            return Completion(kind=kind, reason=record.reason or "all its tries are used")
         return None
 
     def _plan_send(self, *, record: RequestRecord) -> SendPlan | Completion | None:
         """Selects engines and runs a separate prefill if planned; None when the selection has to be repeated."""
         pairing = self._select_engines(record=record)
         if pairing is None:
-            return Completion(kind=OutcomeKind.NO_ENGINE, reason="no engine is available")
+            return Completion(kind=OutcomeKind.NO_ENGINE, reason="no engine can be used")
         if not record.may_have_run and (busy := self._overloaded(record=record, pairing=pairing)) is not None:
             return busy
         if pairing.includes(engines=record.unreachable):
@@ -154,7 +154,7 @@
                 return None
         if not self._take_retry(record=record, first=record.sends == 0):
             self._discard(kv_handle=kv_handle)
-            return Completion(kind=OutcomeKind.BUSY, reason="the retry budget is used up")
+            return Completion(kind=OutcomeKind.BUSY, reason="no extra send is left")
         return SendPlan(pairing=pairing, kv_handle=kv_handle)
 
     def _overloaded(self, *, record: RequestRecord, pairing: Pairing) -> Completion | None:
@@ -165,9 +165,7 @@
         if excess <= ZERO:
             return None
         retry_after = max(min(excess, (record.deadline - now) * MAX_RETRY_AFTER_SHARE), DEFAULT_RETRY_AFTER)
-        return Completion(
-            kind=OutcomeKind.BUSY, reason="it is not expected to finish before its deadline", retry_after=retry_after
-        )
+        return Completion(kind=OutcomeKind.BUSY, reason="it would not be answered in time", retry_after=retry_after)
 
     def _pause_before_retry(self, *, record: RequestRecord) -> None:
         """Waits with exponential backoff. An engine that refuses connections does so immediately; without the pause it
--- a/dockmux/platform_proxy/engine_client.py
+++ b/dockmux/platform_proxy/engine_client.py
@@ -85,7 +85,7 @@
             try:
                 body = b"".join(result.chunks())
                 if result.status != 200:
-                    return UnknownOutcome(reason=f"the prefill was answered with status {result.status}")
+                    return UnknownOutcome(reason=f"reading ended with {result.status}")
                 return self.protocol.parse_kv_handle(body=body, engine=engine)
             except WIRE_ERRORS as error:
                 return UnknownOutcome(reason=f"{type(error).__name__}: {error}")
@@ -162,7 +162,7 @@
                     connection=connection, keep=metadata.keep_alive, closing=metadata.closing
                 )
             return Rejected(
-                reason=f"the engine rejected the request with status {response.status}",
+                reason=f"turned away with {response.status}",
                 other_engine=metadata.other_engine,
             )
         if defect:
@@ -180,13 +180,13 @@
         if answer.metadata.not_run:
             return ""
         if answer.status in NOT_RUN_STATUSES:
-            return f"it has status {answer.status} and does not state that the request was not run"
+            return f"it has status {answer.status} and does not say that the request was not run"
         if not answer.is_self_delimiting:
-            return "it does not announce where its body ends"
+            return "it does not say where its body ends"
         if answer.metadata.encoded:
-            return "it has a content encoding"
+            return "it is encoded"
         if 200 <= answer.status < 300 and not answer.metadata.sealed and not prefill:
-            return "it carries no seal"
+            return "it bears no seal"
         return ""
 
     def release_kv_handle(self, *, kv_handle: KvHandle) -> None:
--- a/dockmux/platform_proxy/operator_api.py
+++ b/dockmux/platform_proxy/operator_api.py
@@ -36,7 +36,7 @@
             return Outcome(kind=OutcomeKind.TOO_LARGE, detail={"limitKb": limit_bytes // 1024})
         based_on = self.protocol.base_version(headers=exchange.headers)
         if based_on is None:
-            return Outcome(kind=OutcomeKind.MARK_MISSING, detail={"why": "the base version is missing"})
+            return Outcome(kind=OutcomeKind.MARK_MISSING, detail={"why": "name the version that you started from"})
         try:
             text = data.decode()
             table = self.protocol.parse_config(text=text)
@@ -48,7 +48,7 @@
     def _get(self, *, exchange: HttpExchange) -> Iterable[bytes]:
         """Answers with the newest acknowledged configuration, as it was sent."""
         if not self.core.chain.confirm_read():
-            why = {"why": "the chain's tail did not confirm under its lease"}
+            why = {"why": "the tail did not confirm under its permit"}
             return exchange.respond(outcome=Outcome(kind=OutcomeKind.NO_MAJORITY, detail=why))
         config = self.core.chain.state.config
         if config is None:
--- a/dockmux/platform_proxy/relay.py
+++ b/dockmux/platform_proxy/relay.py
@@ -66,7 +66,7 @@
                     self._start(response=response)
                 yield data
             if self.splitter.buffer:
-                raise ValueError("the stream ends in the middle of an event")
+                raise ValueError("it ends inside an event")
         finally:
             self.splitter.buffer = b""
         self._start(response=response)
--- a/dockmux/platform_proxy/request_table.py
+++ b/dockmux/platform_proxy/request_table.py
@@ -74,7 +74,7 @@
         now = self.host.elapsed()
         for record in list(self.records.values()):
             if record.connection is not None and now >= record.expires_at():
-                record.reason = "the deadline has passed"
+                record.reason = "its time is over"
                 self._cancel_call(record=record)
 
     def cancel_disconnected(self) -> None:
@@ -91,7 +91,7 @@
             if not (record.route.repeatable or record.in_prefill):
                 continue
             if self.engine_health.is_failing(engine=record.engine) or record.engine not in self.directory.rows:
-                record.reason = "the engine is silent and marked as failing"
+                record.reason = "its engine is silent and found failing"
                 self._cancel_call(record=record)
 
     def silent_engines(self) -> set[str]:
@@ -132,14 +132,14 @@
             return self._refuse(exchange=exchange, kind=OutcomeKind.BAD_FIELD, reason="the request has no id")
         body = exchange.body(limit_bytes=route_table.limits.body_bytes)
         if body is None:
-            return self._refuse(exchange=exchange, kind=OutcomeKind.TOO_LARGE, reason="the body exceeds the size limit")
+            return self._refuse(exchange=exchange, kind=OutcomeKind.TOO_LARGE, reason="the body is over the limit")
         now = self.host.elapsed()
         time_allowed = min(route.timeout, metadata.deadline or DEFAULT_DEADLINE)
         if self.shutdown is not None and not self.shutdown.admits(now=now, deadline=now + time_allowed):
             return self._refuse(
                 exchange=exchange,
                 kind=OutcomeKind.DRAINING,
-                reason="this daemon may shut down before the request's deadline",
+                reason="this daemon ends before the request might",
             )
         self.last_key += 1
         record = RequestRecord(
--- a/dockmux/platform_proxy/routes.py
+++ b/dockmux/platform_proxy/routes.py
@@ -101,23 +101,23 @@
 
     def _check(self) -> None:
         if not isinstance(self.version, int) or isinstance(self.version, bool) or self.version < 1:
-            raise BadConfig("version must be an integer above 0")
+            raise BadConfig("the version is no whole number above 0")
         for route in self.routes:
             if not all(isinstance(text, str) for text in (route.name, route.host, route.prefix)):
-                raise BadConfig(f"route {route.name}: name, host and prefix must be strings")
+                raise BadConfig(f"route {route.name}: name, host and prefix are texts")
             if not (route.prefix.startswith("/") and route.prefix.endswith("/")):
-                raise BadConfig(f"route {route.name}: prefix must begin and end with a slash")
+                raise BadConfig(f"route {route.name}: a prefix begins and ends with a slash")
             for service, weight in route.service_weights:
                 if not isinstance(service, str) or service not in self.services:
-                    raise BadConfig(f"route {route.name}: unknown service")
+                    raise BadConfig(f"route {route.name} names an unknown service")
                 if not isinstance(weight, int) or isinstance(weight, bool) or weight < 0:
-                    raise BadConfig(f"route {route.name}: weights must be integers from 0")
+                    raise BadConfig(f"route {route.name}: a weight is a whole number from 0")
             if sum(weight for _, weight in route.service_weights) <= 0:
-                raise BadConfig(f"route {route.name}: weights must not sum to 0")
+                raise BadConfig(f"route {route.name}: the weights sum to 0")
             if route.timeout <= timedelta():
-                raise BadConfig(f"route {route.name}: timeout must be above 0")
+                raise BadConfig(f"route {route.name}: the time-out is 0")
         if len({(route.host, route.prefix) for route in self.routes}) != len(self.routes):
-            raise BadConfig("two routes have the same host and prefix")
+            raise BadConfig("two routes share host and prefix")
 
     def find(self, *, host: str, path: str) -> Route | None:
         """The host's route with the longest prefix of the path, or None."""
--- a/dockmux/runtime/complete_line_reader.py
+++ b/dockmux/runtime/complete_line_reader.py
@@ -30,7 +30,7 @@
                 raise HeadTooLarge
         limited = size is not None and 0 <= size <= len(line)
         if not line.endswith(b"\n") and not limited:
-            raise ConnectionResetError("the connection ended within a line")
+            raise ConnectionResetError("the connection ended before its next line did")
         return line
 
     def holds_more(self) -> bool:
--- a/dockmux/runtime/host.py
+++ b/dockmux/runtime/host.py
@@ -45,7 +45,7 @@
 @contextlib.contextmanager
 def time_limit(*, wait: timedelta) -> Iterator[None]:
     """Raises TimeoutError in the enclosed block once `wait` has passed."""
-    with eventlet.Timeout(max(wait.total_seconds(), 0), TimeoutError("timed out")):
+    with eventlet.Timeout(max(wait.total_seconds(), 0), TimeoutError("time is up")):
         yield
 
 
--- a/dockmux/runtime/http_transport.py
+++ b/dockmux/runtime/http_transport.py
@@ -99,11 +99,9 @@
         try:
             data = self.environ["wsgi.input"].read(limit_bytes + 1)
         except TimeoutError:
-            raise RequestBodyError(kind=OutcomeKind.BODY_LATE, why="timed out while reading the body") from None
+            raise RequestBodyError(kind=OutcomeKind.BODY_LATE, why="the body stopped coming") from None
         except (OSError, ValueError) as error:
-            raise RequestBodyError(
-                kind=OutcomeKind.BODY_CUT, why=f"the body cannot be read completely: {error}"
-            ) from None
+            raise RequestBodyError(kind=OutcomeKind.BODY_CUT, why=f"the body cannot be read whole: {error}") from None
         if length and len(data) < int(length):
             raise RequestBodyError(kind=OutcomeKind.BODY_CUT, why=f"the body ended after {len(data)} of {length} bytes")
         return None if len(data) > limit_bytes else data
@@ -112,10 +110,10 @@
         """Raises RequestBodyError if parsers of the head could disagree on where the body ends (request smuggling)."""
         lengths = {value for name, value in self.headers if name.lower() == "content-length"}
         if len(lengths) > 1 or not all(value.isascii() and value.isdigit() for value in lengths):
-            raise RequestBodyError(kind=OutcomeKind.BODY_CUT, why="Content-Length is not a single number")
+            raise RequestBodyError(kind=OutcomeKind.BODY_CUT, why="the body's length is not one number")
         coding = self.environ.get("HTTP_TRANSFER_ENCODING")
         if coding is not None and not self._chunked:
-            raise RequestBodyError(kind=OutcomeKind.BODY_CUT, why="unknown transfer coding")
+            raise RequestBodyError(kind=OutcomeKind.BODY_CUT, why="the transfer coding is not known")
 
     @property
     def _chunked(self) -> bool:
@@ -214,8 +212,8 @@
     )
 
 
-class InvalidResponse(OSError):
-    """The response is malformed, or has no unambiguous end."""
+class BadAnswer(OSError):
+    """The response is malformed, or has no unambiguous end. HTTP answers name this class in `why`."""
 
 
 class StrictResponse(http.client.HTTPResponse):
@@ -236,7 +234,7 @@
         super().begin()
         while 100 <= self.status < 200:
             if self.status == http.client.SWITCHING_PROTOCOLS:
-                raise InvalidResponse("101 Switching Protocols without an Upgrade request")
+                raise BadAnswer("another protocol, which nobody asked for")
             self.headers = self.msg = None
             super().begin()
         urllib3.util.response.assert_header_parsing(self.msg)
@@ -245,10 +243,10 @@
     def _check_framing(self) -> None:
         coding = self.headers.get("transfer-encoding")
         if coding is not None and not self.chunked:
-            raise InvalidResponse(f"unknown transfer coding {coding!r}")
+            raise BadAnswer(f"unknown transfer coding {coding!r}")
         length = self.headers.get("content-length")
         if length is not None and not (length.isascii() and length.strip().isdigit()):
-            raise InvalidResponse(f"invalid Content-Length: {length!r}")
+            raise BadAnswer(f"no content length: {length!r}")
 
 
 class HttpClientConnection(urllib3.connection.HTTPConnection):
@@ -292,7 +290,7 @@
         try:
             response = super().getresponse()
         except (http.client.HTTPException, urllib3.exceptions.HTTPError) as error:
-            raise InvalidResponse(f"{type(error).__name__}: {error}") from error
+            raise BadAnswer(f"{type(error).__name__}: {error}") from error
         self.last_response = response._original_response
         return response
 
--- a/tests/sends_test.py
+++ b/tests/sends_test.py
@@ -180,7 +180,7 @@
 
 def check_without_request_id(self, *, record, answer, prefill):
     """The check of an answer's head, without the comparison of the request id."""
-    return "" if answer.metadata.not_run or answer.metadata.sealed else "it carries no seal"
+    return "" if answer.metadata.not_run or answer.metadata.sealed else "it bears no seal"
 
 
 def test_without_the_request_id_another_requests_rejection_would_be_accepted(monkeypatch):
