--- a/tests/broken_pool_test.py
+++ b/tests/broken_pool_test.py
@@ -66,13 +66,13 @@
 def single_core(*, folder: Path, breaks: bool):
     ip = "127.0.0.1"
     peer, control = free_ports(ip=ip, count=2)
-    rows = {
+    setting_lines = {
         "nodename": "core-a", "role": "core", "mclass": "core", "ip": ip, "az": "a", "rgn": "r",
         "port_range": f"{peer},{peer + 15}", "seeds": f"{ip}:{control}", "bootstrap": "true", "survive.nodes": "0",
         "listen.ctl": f"{ip}:{control}", "datadir": str(folder / "data"), "cloud.addr": f"{ip}:9",
     }  # fmt: skip
     settings = folder / "settings.conf"
-    settings.write_text("".join(f"{name}={value}\n" for name, value in rows.items()))
+    settings.write_text("".join(f"{name}={value}\n" for name, value in setting_lines.items()))
     program = PROGRAM.format(
         root=str(ROOT), platform=str(ROOT / "platform"), limit=FILE_CALL_LIMIT_S, breaks=breaks, after=2.0
     )
--- a/tests/budget_test.py
+++ b/tests/budget_test.py
@@ -61,7 +61,7 @@
     taken = [
         ms(100) * step for step in range(400) for _ in range(_take_all(budget=budget, daemons=1, at=ms(100) * step))
     ]
-    assert _violations(extras=taken, asked=[], extra=60)[:1] == []
+    assert _violations(extras=taken, request_times=[], extra=60)[:1] == []
 
 
 def test_each_service_has_its_own_allowance():
@@ -119,13 +119,13 @@
     clock_errors = {name: ms(random_source.uniform(-100, 100)) for name in budgets}
     messages: list[tuple[timedelta, str, str, dict]] = []
     taken: list[timedelta] = []
-    asked: list[timedelta] = []
+    request_times: list[timedelta] = []
     for tick in range(600):
         at = ms(100) * tick
         for name, budget in budgets.items():
             if random_source.random() < 0.3:
                 budget.note_request(service="s", now=at)
-                asked.append(at)
+                request_times.append(at)
             overloaded = 100 < tick < 400
             for _ in range(random_source.randrange(6) if overloaded else 0):
                 if budget.take(
@@ -138,7 +138,7 @@
         for row in [row for row in messages if row[0] <= at]:
             messages.remove(row)
             budgets[row[1]].update_peer(daemon=row[2], draws=row[3])
-    assert _violations(extras=taken, asked=asked, extra=60) == []
+    assert _violations(extras=taken, request_times=request_times, extra=60) == []
     assert len(taken) > 60
 
 
@@ -146,10 +146,10 @@
     """A daemon is killed two seconds after its draws; its sends are still within the ten seconds that are checked."""
     budgets = [_budget() for _ in range(3)]
     count = sum(_take_all(budget=budget, daemons=3, at=ms(100) * step) for step in range(5) for budget in budgets)
-    for one in budgets:
-        for number, other in enumerate(budgets):
-            if other is not one:
-                one.update_peer(daemon=str(number), draws=other.summary())
+    for receiver in budgets:
+        for number, sender in enumerate(budgets):
+            if sender is not receiver:
+                receiver.update_peer(daemon=str(number), draws=sender.summary())
     for budget in budgets[1:]:
         # Its failure has been detected.
         budget.forget(live={"1", "2"})
@@ -157,104 +157,104 @@
     assert count <= 60, count
 
 
-def _violations(*, extras: list[timedelta], asked: list[timedelta], extra: int = EXTRA) -> list[str]:
+def _violations(*, extras: list[timedelta], request_times: list[timedelta], extra: int = EXTRA) -> list[str]:
     """Describes each window of ten seconds that ends at an extra arrival and holds more than allowed."""
     found = []
     for end in extras:
         count = sum(end - WINDOW < at <= end for at in extras)
         requests = max(
-            sum(end - WINDOW - back < at <= end - back for at in asked) for back in (ZERO, WINDOW / 2, WINDOW)
+            sum(end - WINDOW - back < at <= end - back for at in request_times) for back in (ZERO, WINDOW / 2, WINDOW)
         )
         if count > RETRY_RATIO * requests + extra:
             found.append(f"{count} extra arrivals for {requests} requests in the ten seconds to {end}")
     return found
 
 
-def _breaches(*, made: Fleet) -> list[str]:
+def _breaches(*, sim_fleet: Fleet) -> list[str]:
     """Checks the budget at the engines. Of a request's arrivals the first accepted prefill and one other are free; the
     rest are extra."""
     extras = []
-    for rows in made.record.by_id.values():
+    for arrivals in sim_fleet.record.by_id.values():
         free_read, free_run = True, True
-        for row in rows:
-            if row.is_prefill and not row.rejected and free_read:
+        for arrival in arrivals:
+            if arrival.is_prefill and not arrival.rejected and free_read:
                 free_read = False
             elif free_run:
                 free_run = False
             else:
-                extras.append(row.at)
-    return _violations(extras=sorted(extras), asked=[seen.sent_at for seen in made.client.attempts])
+                extras.append(arrival.at)
+    return _violations(extras=sorted(extras), request_times=[attempt.sent_at for attempt in sim_fleet.client.attempts])
 
 
-def _set_lapsing(*, made: Fleet, lapsing: bool) -> None:
-    for engine in made.engines.values():
+def _set_handles_expired(*, sim_fleet: Fleet, expired: bool) -> None:
+    for engine in sim_fleet.engines.values():
         if hasattr(engine, "expire_handles"):
-            engine.expire_handles = lapsing
+            engine.expire_handles = expired
 
 
-def _set_turning(*, made: Fleet, phase: str, turning: bool) -> None:
-    for engine in made.engines.values():
+def _set_rejecting(*, sim_fleet: Fleet, phase: str, rejecting: bool) -> None:
+    for engine in sim_fleet.engines.values():
         if getattr(engine, "phase", "") == phase:
-            engine.rejecting = turning
+            engine.rejecting = rejecting
 
 
 PATHS = ("/notes/a", "/check/c", "/once/b")
 
 
 def test_the_budget_holds_when_all_kv_handles_expire_at_once_under_load():
-    with fleet(seed=41, extra=EXTRA) as made:
-        made.send_load(paths=PATHS, per_second=12, seconds=2)
-        _set_lapsing(made=made, lapsing=True)
-        tries = made.send_load(paths=PATHS, per_second=16, seconds=11)
-        _set_lapsing(made=made, lapsing=False)
-        after = made.send_load(paths=PATHS, per_second=12, seconds=2)
-        assert _breaches(made=made) == []
-        assert made.violations(attempts=tries + after) == []
-        assert [seen for seen in after if not seen.is_correct] == []
-        made.assert_no_failures()
+    with fleet(seed=41, extra=EXTRA) as sim_fleet:
+        sim_fleet.send_load(paths=PATHS, per_second=12, seconds=2)
+        _set_handles_expired(sim_fleet=sim_fleet, expired=True)
+        attempts = sim_fleet.send_load(paths=PATHS, per_second=16, seconds=11)
+        _set_handles_expired(sim_fleet=sim_fleet, expired=False)
+        after = sim_fleet.send_load(paths=PATHS, per_second=12, seconds=2)
+        assert _breaches(sim_fleet=sim_fleet) == []
+        assert sim_fleet.violations(attempts=attempts + after) == []
+        assert [attempt for attempt in after if not attempt.is_correct] == []
+        sim_fleet.assert_no_failures()
 
 
 def test_without_the_budget_expiring_handles_would_exceed_it(monkeypatch):
     monkeypatch.setattr(Budget, "take", lambda self, **_: True)
-    with fleet(seed=41, extra=EXTRA) as made:
-        _set_lapsing(made=made, lapsing=True)
-        made.send_load(paths=PATHS, per_second=20, seconds=3)
-        assert _breaches(made=made)
+    with fleet(seed=41, extra=EXTRA) as sim_fleet:
+        _set_handles_expired(sim_fleet=sim_fleet, expired=True)
+        sim_fleet.send_load(paths=PATHS, per_second=20, seconds=3)
+        assert _breaches(sim_fleet=sim_fleet)
 
 
 def test_the_budget_holds_when_prefill_engines_reject_everything():
-    with fleet(seed=42, extra=EXTRA) as made:
-        _set_turning(made=made, phase="prefill", turning=True)
-        tries = made.send_load(paths=PATHS, per_second=20, seconds=3)
-        assert made.violations(attempts=tries) == []
-        made.assert_no_failures()
-        assert _breaches(made=made)[:1] == []
+    with fleet(seed=42, extra=EXTRA) as sim_fleet:
+        _set_rejecting(sim_fleet=sim_fleet, phase="prefill", rejecting=True)
+        attempts = sim_fleet.send_load(paths=PATHS, per_second=20, seconds=3)
+        assert sim_fleet.violations(attempts=attempts) == []
+        sim_fleet.assert_no_failures()
+        assert _breaches(sim_fleet=sim_fleet)[:1] == []
 
 
 def test_the_budget_holds_when_decode_engines_reject_everything():
-    with fleet(seed=43, extra=EXTRA) as made:
-        _set_turning(made=made, phase="decode", turning=True)
-        tries = made.send_load(paths=PATHS, per_second=20, seconds=3)
-        assert made.violations(attempts=tries) == []
-        assert all(seen.refused for seen in tries)
-        made.assert_no_failures()
-        assert _breaches(made=made)[:1] == []
+    with fleet(seed=43, extra=EXTRA) as sim_fleet:
+        _set_rejecting(sim_fleet=sim_fleet, phase="decode", rejecting=True)
+        attempts = sim_fleet.send_load(paths=PATHS, per_second=20, seconds=3)
+        assert sim_fleet.violations(attempts=attempts) == []
+        assert all(attempt.refused for attempt in attempts)
+        sim_fleet.assert_no_failures()
+        assert _breaches(sim_fleet=sim_fleet)[:1] == []
 
 
 @pytest.mark.parametrize("killed", ((0,), (0, 1, 2)))
 def test_the_budget_holds_across_killed_and_restarted_daemons(killed):
     """Sends of the previous processes are within the same ten seconds, and new processes know no peers at first."""
-    with fleet(seed=44, extra=EXTRA) as made:
-        _set_lapsing(made=made, lapsing=True)
-        tries = made.send_load(paths=PATHS, per_second=20, seconds=3)
+    with fleet(seed=44, extra=EXTRA) as sim_fleet:
+        _set_handles_expired(sim_fleet=sim_fleet, expired=True)
+        attempts = sim_fleet.send_load(paths=PATHS, per_second=20, seconds=3)
         for _ in range(2):
             for zone in killed:
-                made.kill(name=f"edge-{zone}")
-            made.sleep(seconds=0.3)
+                sim_fleet.kill(name=f"edge-{zone}")
+            sim_fleet.sleep(seconds=0.3)
             for zone in killed:
-                made.start_daemon(name=f"edge-{zone}")
-            assert made.wait_until(what=made.ready, limit=5 * SECOND)
-            tries += made.send_load(paths=PATHS, per_second=20, seconds=2)
-        assert made.violations(attempts=tries) == []
-        made.assert_no_failures()
-        assert _breaches(made=made)[:1] == []
+                sim_fleet.start_daemon(name=f"edge-{zone}")
+            assert sim_fleet.wait_until(what=sim_fleet.ready, limit=5 * SECOND)
+            attempts += sim_fleet.send_load(paths=PATHS, per_second=20, seconds=2)
+        assert sim_fleet.violations(attempts=attempts) == []
+        sim_fleet.assert_no_failures()
+        assert _breaches(sim_fleet=sim_fleet)[:1] == []
--- a/tests/directory_test.py
+++ b/tests/directory_test.py
@@ -10,7 +10,7 @@
 from dockmux.runtime.time_units import ms
 
 
-class StillHost(Host):
+class SettableTimeHost(Host):
     """A host whose time changes only when a test sets it."""
 
     def __init__(self, *, name: str) -> None:
@@ -33,7 +33,7 @@
 
 def pair() -> list[Directory]:
     deployment = Deployment(drain=timedelta(seconds=3))
-    return [Directory(host=StillHost(name=name), deployment=deployment, protocol=None) for name in ("a", "b")]
+    return [Directory(host=SettableTimeHost(name=name), deployment=deployment, protocol=None) for name in ("a", "b")]
 
 
 def test_a_copy_that_two_daemons_report_to_each_other_still_ages():
--- a/tests/http_server_test.py
+++ b/tests/http_server_test.py
@@ -43,55 +43,61 @@
     assert status == 200 and exhausted.failures == 0
 
 
-def request_with_head(*, made: object, size: int, line: bool) -> bytes:
+def request_with_head(*, sim_fleet: object, size: int, line: bool) -> bytes:
     """A request whose head has about `size` bytes, in its request line or in one header."""
-    request = made.request(path="/check/c", tokens_out=0, tokens_in=100)
+    request = sim_fleet.request(path="/check/c", tokens_out=0, tokens_in=100)
     data = request.to_bytes()
     if line:
         return data.replace(b"/check/c ", b"/check/c?q=" + b"x" * size + b" ", 1)
     return data.replace(b"X-Model: m\r\n", b"X-Model: m\r\nX-Long: " + b"x" * size + b"\r\n", 1)
 
 
-def status_line(*, made: object, data: bytes) -> bytes:
-    with made.outside.connect(address=made.edges[0], wait=SECOND) as stream:
+def status_line(*, sim_fleet: object, data: bytes) -> bytes:
+    with sim_fleet.outside.connect(address=sim_fleet.edges[0], wait=SECOND) as stream:
         stream.sendall(data)
-        made.sleep(seconds=1)
+        sim_fleet.sleep(seconds=1)
         return stream.recv(65536).partition(b"\r\n")[0] if stream.readable() else b""
 
 
 @pytest.mark.parametrize("line", (True, False))
 def test_heads_up_to_the_configured_limit_are_served(line):
     """Guards against 400 and 414 for valid requests (DENIED)."""
-    with fleet(seed=72, phases="d") as made:
+    with fleet(seed=72, phases="d") as sim_fleet:
         for size in (9_000, 15_000):
-            assert b" 200 " in status_line(made=made, data=request_with_head(made=made, size=size, line=line))
-        assert b" 431 " in status_line(made=made, data=request_with_head(made=made, size=17_000, line=line))
+            assert b" 200 " in status_line(
+                sim_fleet=sim_fleet, data=request_with_head(sim_fleet=sim_fleet, size=size, line=line)
+            )
+        assert b" 431 " in status_line(
+            sim_fleet=sim_fleet, data=request_with_head(sim_fleet=sim_fleet, size=17_000, line=line)
+        )
         fields = configuration(gen=2)
         fields["caps"]["hdr_bytes"] = 32_768
-        assert made.operator.put(text=serialize(fields=fields), base=1) == 200
-        made.sleep(seconds=2)
-        assert b" 200 " in status_line(made=made, data=request_with_head(made=made, size=30_000, line=line))
+        assert sim_fleet.operator.put(text=serialize(fields=fields), base=1) == 200
+        sim_fleet.sleep(seconds=2)
+        assert b" 200 " in status_line(
+            sim_fleet=sim_fleet, data=request_with_head(sim_fleet=sim_fleet, size=30_000, line=line)
+        )
 
 
 def test_idle_and_slow_clients_have_the_configured_time():
     """Guards against connections closed while clients may still use them (LOST)."""
-    with fleet(seed=73, phases="d") as made:
+    with fleet(seed=73, phases="d") as sim_fleet:
         fields = configuration(gen=2)
         fields["caps"] |= {"hdr_ms": 1000, "idle_ms": 4000}
-        assert made.operator.put(text=serialize(fields=fields), base=1) == 200
-        made.sleep(seconds=2)
-        data = made.request(path="/check/c", tokens_out=0).to_bytes()
+        assert sim_fleet.operator.put(text=serialize(fields=fields), base=1) == 200
+        sim_fleet.sleep(seconds=2)
+        data = sim_fleet.request(path="/check/c", tokens_out=0).to_bytes()
         with (
-            made.outside.connect(address=made.edges[0], wait=SECOND) as idle,
-            made.outside.connect(address=made.edges[0], wait=SECOND) as slow,
+            sim_fleet.outside.connect(address=sim_fleet.edges[0], wait=SECOND) as idle,
+            sim_fleet.outside.connect(address=sim_fleet.edges[0], wait=SECOND) as slow,
         ):
             slow.sendall(data[:60])
-            made.sleep(seconds=3.2)
+            sim_fleet.sleep(seconds=3.2)
             assert not idle.readable() and slow.readable()
-            made.sleep(seconds=1.5)
+            sim_fleet.sleep(seconds=1.5)
             assert idle.readable()
         keep_alive_request = data.replace(b"X-Model: m", b"Connection: keep-alive\r\nX-Model: m", 1)
-        with made.outside.connect(address=made.edges[0], wait=SECOND) as stream:
+        with sim_fleet.outside.connect(address=sim_fleet.edges[0], wait=SECOND) as stream:
             stream.sendall(keep_alive_request)
-            made.sleep(seconds=1)
+            sim_fleet.sleep(seconds=1)
             assert b"\r\nKeep-Alive: timeout=4\r\n" in stream.recv(65536)
--- a/tests/native_client_disconnect_test.py
+++ b/tests/native_client_disconnect_test.py
@@ -20,16 +20,16 @@
 @pytest.mark.parametrize("disconnects", (True, False))
 def test_a_disconnected_clients_request_is_dropped(disconnects):
     """Guards against requests that stay at engines after their clients have disconnected (GONE)."""
-    with fleet(plan=load(path="fleets/mini.yaml"), seed=3) as made:
-        made.begin()
-        table = made.daemons["edge-0"].table
-        for engine in made.engines:
+    with fleet(plan=load(path="fleets/mini.yaml"), seed=3) as sim_fleet:
+        sim_fleet.begin()
+        table = sim_fleet.daemons["edge-0"].table
+        for engine in sim_fleet.engines:
             engine.host.freeze()
-        stream = made.outside.connect(address=made.plan.edges[0]["http"], wait=SECOND)
+        stream = sim_fleet.outside.connect(address=sim_fleet.plan.edges[0]["http"], wait=SECOND)
         stream.sendall(request_bytes(lane="ask"))
-        made.outside.sleep(wait=ms(300))
+        sim_fleet.outside.sleep(wait=ms(300))
         assert table.open == 1
         if disconnects:
             stream.close()
-        made.outside.sleep(wait=ms(500))
+        sim_fleet.outside.sleep(wait=ms(500))
         assert table.open == (0 if disconnects else 1)
--- a/tests/packages_test.py
+++ b/tests/packages_test.py
@@ -139,6 +139,6 @@
     """If Debian's own list of the C library's files is installed, the table has all of them."""
     lists = sorted(Path("/var/lib/dpkg/info").glob("libc6*.shlibs"))
     for path in lists:
-        rows = [line.split() for line in path.read_text().splitlines() if not line.startswith("udeb:")]
-        named = {f"{name}.so.{version}" for name, version, *_ in rows}
+        fields_by_line = [line.split() for line in path.read_text().splitlines() if not line.startswith("udeb:")]
+        named = {f"{name}.so.{version}" for name, version, *_ in fields_by_line}
         assert named <= PACKAGE_OF_LIBRARY.keys(), f"{path}: {sorted(named - PACKAGE_OF_LIBRARY.keys())}"
--- a/tests/phase_balancer_test.py
+++ b/tests/phase_balancer_test.py
@@ -60,12 +60,12 @@
 
 def test_two_remaining_prefill_engines_serve_again():
     """All decode engines are gone for good; the two remaining ones are prefill engines, so no engine could answer."""
-    with fleet(seed=18, phases="ppdd") as made:
-        made.send(path="/notes/a")
+    with fleet(seed=18, phases="ppdd") as sim_fleet:
+        sim_fleet.send(path="/notes/a")
         for engine in ("i-d2", "i-d3"):
-            made.list.rows.pop(engine)
-            made.kill(name=engine)
-        made.sleep(seconds=12)
-        tries = made.send_load(paths=("/notes/a", "/once/b"), per_second=4, seconds=5)
-        assert sum(seen.is_correct for seen in tries) >= len(tries) - 1
-        made.assert_no_failures()
+            sim_fleet.list.rows.pop(engine)
+            sim_fleet.kill(name=engine)
+        sim_fleet.sleep(seconds=12)
+        attempts = sim_fleet.send_load(paths=("/notes/a", "/once/b"), per_second=4, seconds=5)
+        assert sum(attempt.is_correct for attempt in attempts) >= len(attempts) - 1
+        sim_fleet.assert_no_failures()
--- a/tests/retry_pause_test.py
+++ b/tests/retry_pause_test.py
@@ -21,20 +21,20 @@
         connect_attempts.append(engine)
         return connect(self, engine=engine, address=address)
 
-    with fleet(seed=17, phases="dd") as made:
+    with fleet(seed=17, phases="dd") as sim_fleet:
         for engine in ("i-d0", "i-d1"):
-            made.kill(name=engine)
+            sim_fleet.kill(name=engine)
         monkeypatch.setattr(ConnectionPool, "_connect", counted)
-        request = made.request(path="/notes/a", tokens_in=100)
-        made.client.start(edge=made.edges[0], request=request)
+        request = sim_fleet.request(path="/notes/a", tokens_in=100)
+        sim_fleet.client.start(edge=sim_fleet.edges[0], request=request)
         if back_after is not None:
-            made.sleep(seconds=back_after)
+            sim_fleet.sleep(seconds=back_after)
             for place, engine in enumerate(("i-d0", "i-d1")):
-                made.start_engine(engine=engine, phase="decode", zone=place, place=place + 1)
-        made.sleep(seconds=9)
-        attempt = made.client.attempts[-1]
-        assert made.violations(attempts=[attempt]) == []
-        made.assert_no_failures()
+                sim_fleet.start_engine(engine=engine, phase="decode", zone=place, place=place + 1)
+        sim_fleet.sleep(seconds=9)
+        attempt = sim_fleet.client.attempts[-1]
+        assert sim_fleet.violations(attempts=[attempt]) == []
+        sim_fleet.assert_no_failures()
         return attempt, len(connect_attempts)
 
 
--- a/tests/send_model_test.py
+++ b/tests/send_model_test.py
@@ -73,40 +73,40 @@
 )
 
 
-def run_steps(*, made: Fleet, steps: list[Step]) -> list[str]:
+def run_steps(*, sim_fleet: Fleet, steps: list[Step]) -> list[str]:
     """Executes one run and returns its violations."""
     crashed: tuple[str, ...] = ()
-    attempts: list[Attempt] = made.client.attempts
+    attempts: list[Attempt] = sim_fleet.client.attempts
     for step in steps:
-        faults = made.faults
+        faults = sim_fleet.faults
         faults.kind, faults.remaining = step.fault, step.remaining
         faults.surplus_after, faults.late_by = ms(step.surplus_after_ms), ms(step.late_by_ms)
         for _ in range(step.count):
-            request = made.request(path=step.path, tokens_out=tokens_out(path=step.path), tokens_in=step.tokens_in)
-            made.client.start(edge=made.edges[0], request=request)
+            request = sim_fleet.request(path=step.path, tokens_out=tokens_out(path=step.path), tokens_in=step.tokens_in)
+            sim_fleet.client.start(edge=sim_fleet.edges[0], request=request)
         if step.crash and not crashed:
-            made.sleep(seconds=0.03)
-            crashed = (max(name for name in made.engines if name.startswith("i-d")),)
-            made.kill(name=crashed[0])
+            sim_fleet.sleep(seconds=0.03)
+            crashed = (max(name for name in sim_fleet.engines if name.startswith("i-d")),)
+            sim_fleet.kill(name=crashed[0])
         if step.wait:
-            made.sleep(seconds=0.001)
-            made.wait_until(what=lambda: not made.open(), limit=timedelta(seconds=12))
-        made.sleep(seconds=step.pause_ms / 1000)
-    made.faults.remaining = 0
-    made.sleep(seconds=0.1)
-    made.wait_until(what=lambda: not made.open(), limit=timedelta(seconds=12))
-    made.sleep(seconds=QUIET_SECONDS)
-    found = violations(made=made, attempts=attempts, crashed=crashed)
-    still_open = made.daemons["edge-0"].request_table.open
+            sim_fleet.sleep(seconds=0.001)
+            sim_fleet.wait_until(what=lambda: not sim_fleet.open(), limit=timedelta(seconds=12))
+        sim_fleet.sleep(seconds=step.pause_ms / 1000)
+    sim_fleet.faults.remaining = 0
+    sim_fleet.sleep(seconds=0.1)
+    sim_fleet.wait_until(what=lambda: not sim_fleet.open(), limit=timedelta(seconds=12))
+    sim_fleet.sleep(seconds=QUIET_SECONDS)
+    found = violations(sim_fleet=sim_fleet, attempts=attempts, crashed=crashed)
+    still_open = sim_fleet.daemons["edge-0"].request_table.open
     return [*found, f"{still_open} requests still open after their deadlines"] if still_open else found
 
 
 def check(run: tuple[str, int, list[Step]]) -> None:
     phases, seed, steps = run
-    with fleet(seed=seed, phases=phases) as made:
-        found = run_steps(made=made, steps=steps)
+    with fleet(seed=seed, phases=phases) as sim_fleet:
+        found = run_steps(sim_fleet=sim_fleet, steps=steps)
         assert not found, f"engines {phases}, seed {seed}, steps {steps}: {found}"
-        made.assert_no_failures()
+        sim_fleet.assert_no_failures()
     gc.freeze()
 
 
--- a/tests/sends_test.py
+++ b/tests/sends_test.py
@@ -32,94 +32,96 @@
     return 0 if path.startswith(("/check/", "/write/")) else 12
 
 
-def violations(*, made: Fleet, attempts: list[Attempt], crashed: tuple[str, ...] = ()) -> list[str]:
+def violations(*, sim_fleet: Fleet, attempts: list[Attempt], crashed: tuple[str, ...] = ()) -> list[str]:
     """The violations of the rules of sends, by what the clients and the engines received."""
-    found = made.violations(attempts=attempts)
+    found = sim_fleet.violations(attempts=attempts)
     for attempt in attempts:
         name = attempt.request.request_id
-        rows = made.record.arrivals_of(request_id=name)
-        runs = {row.engine for row in rows if row.what == "run"} - set(crashed)
+        arrivals = sim_fleet.record.arrivals_of(request_id=name)
+        runs = {arrival.engine for arrival in arrivals if arrival.what == "run"} - set(crashed)
         if len(runs) > TRIES:
             found.append(f"{name}: ran on {len(runs)} engines")
         if 0 < attempt.status < 200:
             found.append(f"{name}: an interim answer {attempt.status} was relayed")
-        if "x-seal" in attempt.headers and attempt.status not in {row.status for row in rows}:
+        if "x-seal" in attempt.headers and attempt.status not in {arrival.status for arrival in arrivals}:
             found.append(f"{name}: a sealed {attempt.status} that no engine gave")
     return found
 
 
-def send_through_fault(*, made: Fleet, path: str, fault: str, remaining: int = 1) -> list[Attempt]:
+def send_through_fault(*, sim_fleet: Fleet, path: str, fault: str, remaining: int = 1) -> list[Attempt]:
     """Sends requests before, during and after a fault, one at a time, to one data daemon."""
     out = tokens_out(path=path)
-    attempts = [made.send(path=path, tokens_out=out, tokens_in=100)]
-    made.faults.kind, made.faults.remaining = fault, remaining
+    attempts = [sim_fleet.send(path=path, tokens_out=out, tokens_in=100)]
+    sim_fleet.faults.kind, sim_fleet.faults.remaining = fault, remaining
     for _ in range(3):
-        attempts.append(made.send(path=path, tokens_out=out, tokens_in=100))
-        made.sleep(seconds=0.1)
-    made.faults.remaining = 0
-    made.sleep(seconds=1.1)
+        attempts.append(sim_fleet.send(path=path, tokens_out=out, tokens_in=100))
+        sim_fleet.sleep(seconds=0.1)
+    sim_fleet.faults.remaining = 0
+    sim_fleet.sleep(seconds=1.1)
     return attempts
 
 
 @pytest.mark.parametrize("fault", WIRE_FAULTS + EARLY_FAULTS)
 @pytest.mark.parametrize("phases", ("d", "ddd"))
 def test_no_connection_fault_causes_a_violation(fault, phases):
-    with fleet(seed=21, phases=phases) as made:
+    with fleet(seed=21, phases=phases) as sim_fleet:
         for path in PATHS:
-            attempts = send_through_fault(made=made, path=path, fault=fault)
-            assert violations(made=made, attempts=attempts) == []
+            attempts = send_through_fault(sim_fleet=sim_fleet, path=path, fault=fault)
+            assert violations(sim_fleet=sim_fleet, attempts=attempts) == []
             assert attempts[0].is_correct
             if phases == "ddd" and path.startswith(REPEATABLE) and fault not in DEADLINE_FAULTS:
                 resumed = path.startswith("/notes/") or fault not in PARTIAL_ANSWER_FAULTS
                 assert all(attempt.is_correct for attempt in attempts) is resumed, [
                     attempt.status for attempt in attempts
                 ]
-            assert made.daemons["edge-0"].request_table.open == 0, "still open after its deadline"
-        made.assert_no_failures()
+            assert sim_fleet.daemons["edge-0"].request_table.open == 0, "still open after its deadline"
+        sim_fleet.assert_no_failures()
 
 
 def test_a_request_whose_sending_was_interrupted_may_have_run():
     """The body exceeds the connection's buffers, so that the reset arrives while the daemon is still sending."""
-    with fleet(seed=22, phases="ddd") as made:
+    with fleet(seed=22, phases="ddd") as sim_fleet:
         body = b"x" * 1_000_000
         for path in ("/write/d", "/check/c"):
-            made.faults.kind, made.faults.remaining = "reset in send", 1
-            attempt = made.send(path=path, tokens_out=0, tokens_in=100, body=body)
-            assert violations(made=made, attempts=[attempt]) == []
+            sim_fleet.faults.kind, sim_fleet.faults.remaining = "reset in send", 1
+            attempt = sim_fleet.send(path=path, tokens_out=0, tokens_in=100, body=body)
+            assert violations(sim_fleet=sim_fleet, attempts=[attempt]) == []
             assert (attempt.status, attempt.is_correct) == ((502, False) if path == "/write/d" else (200, True))
-        made.assert_no_failures()
+        sim_fleet.assert_no_failures()
 
 
 def test_an_interim_answer_is_skipped():
-    with fleet(seed=23, phases="d") as made:
+    with fleet(seed=23, phases="d") as sim_fleet:
         for fault in ("interim 100", "interim 103"):
             for path in PATHS:
-                assert all(attempt.is_correct for attempt in send_through_fault(made=made, path=path, fault=fault)), (
+                assert all(
+                    attempt.is_correct for attempt in send_through_fault(sim_fleet=sim_fleet, path=path, fault=fault)
+                ), (
                     fault,
                     path,
                 )
-        made.assert_no_failures()
+        sim_fleet.assert_no_failures()
 
 
 def test_a_body_delimited_by_the_connections_end_is_not_relayed():
     """A crashed engine's connections end in the same way as those of an engine that has finished."""
-    with fleet(seed=24, phases="dd") as made:
+    with fleet(seed=24, phases="dd") as sim_fleet:
         for path in PATHS:
-            attempts = send_through_fault(made=made, path=path, fault="unannounced")
+            attempts = send_through_fault(sim_fleet=sim_fleet, path=path, fault="unannounced")
             assert [attempt.is_correct for attempt in attempts] == [True, path.startswith(REPEATABLE), True, True]
-        assert violations_of_a_crash(made=made) == []
-        made.assert_no_failures()
+        assert violations_of_a_crash(sim_fleet=sim_fleet) == []
+        sim_fleet.assert_no_failures()
 
 
-def violations_of_a_crash(*, made: Fleet) -> list[str]:
+def violations_of_a_crash(*, sim_fleet: Fleet) -> list[str]:
     """The violations when engines crash in the middle of a body delimited by the connection's end."""
-    made.faults.kind, made.faults.remaining = "unannounced, then silent", 1
-    made.client.start(edge=made.edges[0], request=made.request(path="/once/b", tokens_in=100))
-    made.sleep(seconds=0.1)
-    for name in list(made.engines):
-        made.kill(name=name)
-    made.sleep(seconds=10)
-    return violations(made=made, attempts=made.client.attempts[-1:])
+    sim_fleet.faults.kind, sim_fleet.faults.remaining = "unannounced, then silent", 1
+    sim_fleet.client.start(edge=sim_fleet.edges[0], request=sim_fleet.request(path="/once/b", tokens_in=100))
+    sim_fleet.sleep(seconds=0.1)
+    for name in list(sim_fleet.engines):
+        sim_fleet.kill(name=name)
+    sim_fleet.sleep(seconds=10)
+    return violations(sim_fleet=sim_fleet, attempts=sim_fleet.client.attempts[-1:])
 
 
 # States.
@@ -173,9 +175,9 @@
 
 
 def violations_of(*, fault: str, path: str, phases: str = "d", remaining: int = 1) -> str:
-    with fleet(seed=25, phases=phases) as made:
-        attempts = send_through_fault(made=made, path=path, fault=fault, remaining=remaining)
-        return "; ".join(violations(made=made, attempts=attempts))
+    with fleet(seed=25, phases=phases) as sim_fleet:
+        attempts = send_through_fault(sim_fleet=sim_fleet, path=path, fault=fault, remaining=remaining)
+        return "; ".join(violations(sim_fleet=sim_fleet, attempts=attempts))
 
 
 def check_without_request_id(self, *, record, answer, prefill):
@@ -212,8 +214,8 @@
 
 def test_without_the_framing_check_a_body_truncated_by_a_crash_would_look_complete(monkeypatch):
     monkeypatch.setattr(engine_client.EngineResponse, "is_self_delimiting", True)
-    with fleet(seed=24, phases="dd") as made:
-        assert "a false answer 200" in "; ".join(violations_of_a_crash(made=made))
+    with fleet(seed=24, phases="dd") as sim_fleet:
+        assert "a false answer 200" in "; ".join(violations_of_a_crash(sim_fleet=sim_fleet))
 
 
 def test_on_its_previous_connection_a_duplicate_rejection_would_answer_the_next_send(monkeypatch):
@@ -227,8 +229,8 @@
 def test_without_the_surplus_check_a_connection_with_extra_bytes_would_be_reused(monkeypatch):
     """Half of a second answer would be lost with the first one's buffer, and the rest parsed as the next answer."""
     monkeypatch.setattr(HttpClientConnection, "has_surplus", False)
-    with fleet(seed=25, phases="ddd") as made:
-        attempts = send_through_fault(made=made, path="/check/c", fault="doubled")
+    with fleet(seed=25, phases="ddd") as sim_fleet:
+        attempts = send_through_fault(sim_fleet=sim_fleet, path="/check/c", fault="doubled")
         assert not all(attempt.is_correct for attempt in attempts)
 
 
--- a/tests/settings_file_test.py
+++ b/tests/settings_file_test.py
@@ -16,11 +16,11 @@
 
 
 def test_settings_are_parsed_and_unknown_lines_are_ignored(tmp_path, monkeypatch):
-    rows = settings_lines(name="edge-a", zone=0, machine="edge")
-    text = "\n".join(["# a comment", "", "not a line", *(f"{name} = {value}" for name, value in rows.items())])
+    lines = settings_lines(name="edge-a", zone=0, machine="edge")
+    text = "\n".join(["# a comment", "", "not a line", *(f"{name} = {value}" for name, value in lines.items())])
     _write(tmp_path=tmp_path, monkeypatch=monkeypatch, data=text.encode())
     read = settings_file.read()
-    assert read == rows
+    assert read == lines
     settings = settings_file.settings(lines=read)
     assert (settings.name, settings.site, settings.address) == ("edge-a", "hill", "10.1.0.2:7720")
     assert settings.http == "10.1.0.2:8161"
@@ -65,9 +65,9 @@
     ],
 )
 def test_an_invalid_setting_is_reported_on_one_line_with_its_name(name, value):
-    rows = settings_lines(name="edge-a", zone=0, machine="edge") | {name: value}
+    lines = settings_lines(name="edge-a", zone=0, machine="edge") | {name: value}
     with pytest.raises(SettingsError) as caught:
-        settings_file.settings(lines=rows)
+        settings_file.settings(lines=lines)
     text = str(caught.value)
     assert "\n" not in text and "found" in text and "allowed" in text
 
@@ -86,9 +86,9 @@
     ],
 )
 def test_an_invalid_bound_is_reported_on_one_line_with_its_name(name, value):
-    rows = settings_lines(name="edge-a", zone=0, machine="edge") | {name: value}
+    lines = settings_lines(name="edge-a", zone=0, machine="edge") | {name: value}
     with pytest.raises(SettingsError) as caught:
-        settings_file.deployment(lines=rows)
+        settings_file.deployment(lines=lines)
     text = str(caught.value)
     assert "\n" not in text and text.startswith(name) and "found" in text and "allowed" in text
 
--- a/tests/standins/client.py
+++ b/tests/standins/client.py
@@ -159,12 +159,12 @@
 
     def send_many(self, *, edge: str, requests: list[Request], pause: timedelta = timedelta()) -> list[Attempt]:
         """Sends requests one after the other on one connection, until that is closed."""
-        rows = []
+        attempts = []
         with self.host.connect(address=edge, wait=CONNECT_LIMIT) as stream:
             for request in requests:
                 attempt = Attempt(request=request, edge=edge, sent_at=self.host.world.now())
                 self.attempts.append(attempt)
-                rows.append(attempt)
+                attempts.append(attempt)
                 try:
                     self._exchange(stream=stream, attempt=attempt)
                 except OSError as error:
@@ -172,7 +172,7 @@
                 if not attempt.complete or "close" in attempt.headers.get("connection", ""):
                     break
                 self.host.sleep(wait=pause)
-        return rows
+        return attempts
 
     def _exchange(self, *, stream: object, attempt: Attempt) -> None:
         stream.sendall(attempt.request.to_bytes())
--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -151,12 +151,12 @@
 def head(*, status: int, row: Arrival, length: int | None, lines: list[str], name: str | None = None) -> bytes:
     """The bytes of an answer's head; `name` is the request id that it carries, by default the request's own."""
     name = row.request_id if name is None else name
-    rows = [f"HTTP/1.1 {status} Text", *lines]
+    header_lines = [f"HTTP/1.1 {status} Text", *lines]
     if name:
-        rows.append(f"X-Request-Id: {name}")
+        header_lines.append(f"X-Request-Id: {name}")
     if length is not None:
-        rows.append(f"Content-Length: {length}")
-    return "\r\n".join(rows).encode() + b"\r\n\r\n"
+        header_lines.append(f"Content-Length: {length}")
+    return "\r\n".join(header_lines).encode() + b"\r\n\r\n"
 
 
 def reset(*, stream: SimStream) -> None:
@@ -184,14 +184,14 @@
     def prefill(self, *, row: Arrival, span: timedelta) -> None:
         """Returns once the prefill is done; OSError if the sender closes the connection meanwhile."""
         self.arrived += 1
-        turn = (int(row.headers.get("x-urgency", "5")), self.arrived)
-        bisect.insort(self.waiting, turn)
+        queue_entry = (int(row.headers.get("x-urgency", "5")), self.arrived)
+        bisect.insort(self.waiting, queue_entry)
         try:
-            while self.busy or self.waiting[0] != turn:
+            while self.busy or self.waiting[0] != queue_entry:
                 row.raise_if_sender_disconnected()
                 self.host.sleep(wait=ms(2))
         finally:
-            self.waiting.remove(turn)
+            self.waiting.remove(queue_entry)
         self.busy = True
         try:
             end = self.host.elapsed() + span
@@ -362,8 +362,8 @@
         source = exchange.header(name="X-Kv-From")
         if source:
             address, _, handle = source.partition("/")
-            kv_cache_of, lapses = self.record.kv_caches.pop((address, handle), ("", timedelta()))
-            if self.host.world.now() >= lapses:
+            kv_cache_of, expires_at = self.record.kv_caches.pop((address, handle), ("", timedelta()))
+            if self.host.world.now() >= expires_at:
                 return "no memory"
             row.kv_cache_of = kv_cache_of
         return None
@@ -392,8 +392,8 @@
         row.what = "read"
         self._spend_prefill_time(row=row, span=ms(tokens / self.tokens_per_ms))
         handle = f"{self.host.random.getrandbits(48):012x}"
-        hold = timedelta() if self.expire_handles else self.handle_lifetime
-        self.record.kv_caches[(self.address, handle)] = (row.request_id, self.host.world.now() + hold)
+        lifetime = timedelta() if self.expire_handles else self.handle_lifetime
+        self.record.kv_caches[(self.address, handle)] = (row.request_id, self.host.world.now() + lifetime)
         fields = {"kvh": handle, "toks": tokens, "gen": 1}
         yield from exchange.reply(status=200, fields=fields, headers=[("X-Request-Id", row.request_id)])
 
@@ -508,33 +508,33 @@
         if count:
             body = stream_body(request_id=row.request_id, count=count, after=after)
         seal = f"X-Seal: {self.engine}.{row.request_id}"
-        right = head(status=200, row=row, length=len(body), lines=[seal])
+        correct_head = head(status=200, row=row, length=len(body), lines=[seal])
         row.status = 0
-        data, then = b"", "end"
+        data, ending = b"", "end"
         if fault in ("reset", "silence"):
-            then = fault
+            ending = fault
         elif fault == "doubled":
             row.status = 200
-            data, then = (right + body) * 2, "silence"
+            data, ending = (correct_head + body) * 2, "silence"
         elif fault in ("another's refusal", "nameless refusal"):
             row.status = 503
             name = another if fault == "another's refusal" else ""
-            data, then = head(status=503, row=row, length=0, lines=["X-Not-Run: 1"], name=name), "silence"
+            data, ending = head(status=503, row=row, length=0, lines=["X-Not-Run: 1"], name=name), "silence"
         elif fault.startswith("bare "):
             row.status = int(fault.split()[1])
-            data, then = head(status=row.status, row=row, length=0, lines=[seal]), "silence"
+            data, ending = head(status=row.status, row=row, length=0, lines=[seal]), "silence"
         elif fault == "interim only":
             data = f"HTTP/1.1 103 Early Hints\r\nX-Request-Id: {row.request_id}\r\n{seal}\r\n\r\n".encode()
         elif fault == "cut head":
-            data = right.partition(b"Content-Length")[0]
+            data = correct_head.partition(b"Content-Length")[0]
         elif fault == "cut length":
-            data = right[: right.index(b"Content-Length") + len(b"Content-Length: ")]
+            data = correct_head[: correct_head.index(b"Content-Length") + len(b"Content-Length: ")]
         elif fault == "garbage":
-            data, then = b"\x00\x01 no answer\r\n\r\n", "silence"
+            data, ending = b"\x00\x01 no answer\r\n\r\n", "silence"
         elif fault == "bad header":
-            data = right.replace(b"Content-Length", b"no header line\r\nContent-Length") + body[:40]
+            data = correct_head.replace(b"Content-Length", b"no header line\r\nContent-Length") + body[:40]
         elif fault == "bad length":
-            data = right.replace(b"Content-Length: ", b"Content-Length: x") + body[:40]
+            data = correct_head.replace(b"Content-Length: ", b"Content-Length: x") + body[:40]
         elif fault == "cut chunk":
             # The engine writes chunk sizes with leading zeros and exits after the first zero of one.
             row.status = 200
@@ -546,15 +546,15 @@
         elif fault == "unannounced, then silent":
             row.status = 200
             data = head(status=200, row=row, length=None, lines=[seal, "Connection: close"]) + body[:150]
-            then = "silence"
+            ending = "silence"
         elif fault == "closing, then silent":
             row.status = 200
             data = head(status=200, row=row, length=len(body), lines=[seal, "Connection: close"]) + body[:150]
-            then = "silence"
+            ending = "silence"
         socket.sendall(data)
-        if then == "silence":
+        if ending == "silence":
             self.host.sleep(wait=FOREVER)
-        elif then == "reset":
+        elif ending == "reset":
             reset(stream=socket)
         else:
             socket.shutdown(2)
--- a/tests/standins/fleet.py
+++ b/tests/standins/fleet.py
@@ -31,7 +31,7 @@
 def settings_lines(*, name: str, zone: int, machine: str, **changed: str) -> dict[str, str]:
     """A daemon's settings lines as the platform writes them."""
     ip = f"10.{zone + 1}.0.{1 if machine == 'core' else 2}"
-    rows = {
+    lines = {
         "nodename": name, "role": machine, "mclass": machine, "ip": ip, "az": ZONES[zone], "rgn": "coast",
         "port_range": "7720,7735", "seeds": ",".join(f"10.{n + 1}.0.1:8166" for n in range(3)), "bootstrap": "true",
         "survive.nodes": "1", "bounds.drain_ms": "3000", "bounds.live_ms": "3000", "bounds.grace_s": "8",
@@ -40,10 +40,10 @@
         "cloud.addr": LIST_ADDRESS, "cloud.rate_per_s": "47.0", "cloud.lag_ms": "800", "unknown.field": "x=y",
     }  # fmt: skip
     if machine == "core":
-        rows |= {"listen.ctl": f"{ip}:8166", "datadir": "/data"}
+        lines |= {"listen.ctl": f"{ip}:8166", "datadir": "/data"}
     else:
-        rows |= {"listen.http": f"{ip}:8161", "listen.readyz": f"{ip}:8167"}
-    return rows | changed
+        lines |= {"listen.http": f"{ip}:8161", "listen.readyz": f"{ip}:8167"}
+    return lines | changed
 
 
 class Fleet:
@@ -70,12 +70,12 @@
 
     def _start(self, *, name: str, ip: str, zone: str, make: Callable[[SimHost], Any]) -> None:
         def run(host: SimHost) -> None:
-            made = make(host)
-            with made.running():
-                if isinstance(made, Engine):
-                    self.engines[name] = made
+            process = make(host)
+            with process.running():
+                if isinstance(process, Engine):
+                    self.engines[name] = process
                 else:
-                    self.daemons[name] = made
+                    self.daemons[name] = process
                 while True:
                     host.sleep(wait=timedelta(hours=1))
 
@@ -83,13 +83,13 @@
 
     def start_daemon(self, *, name: str) -> None:
         """Starts or restarts a daemon; its settings say `bootstrap` at its first start only."""
-        rows = self.lines[name]
-        settings = settings_file.settings(lines=rows)
-        deployment = settings_file.deployment(lines=rows)
-        self.lines[name] = rows | {"bootstrap": "false"}
+        lines = self.lines[name]
+        settings = settings_file.settings(lines=lines)
+        deployment = settings_file.deployment(lines=lines)
+        self.lines[name] = lines | {"bootstrap": "false"}
 
         def make(host: SimHost) -> Any:
-            if rows["mclass"] == "core":
+            if lines["mclass"] == "core":
                 core = Core(host=host, settings=settings)
                 protocol = platform_adapter.PlatformAdapter()
                 core.operator_api = OperatorApi(core=core, protocol=protocol).handle_http
@@ -99,7 +99,7 @@
                 host=host, settings=settings, deployment=deployment, protocol=platform_adapter.PlatformAdapter()
             )
 
-        self._start(name=name, ip=rows["ip"], zone=rows["az"], make=make)
+        self._start(name=name, ip=lines["ip"], zone=lines["az"], make=make)
 
     def start_engine(
         self, *, engine: str, phase: str, zone: int, place: int, slots: int = 64, service: str = "desk"
@@ -221,8 +221,8 @@
         found = []
         for attempt in attempts:
             name = attempt.request.request_id
-            rows = self.record.arrivals_of(request_id=name)
-            runs = [row for row in rows if row.what == "run"]
+            arrivals = self.record.arrivals_of(request_id=name)
+            runs = [arrival for arrival in arrivals if arrival.what == "run"]
             if not attempt.is_correct and not attempt.is_safe:
                 found.append(f"{name}: a false answer {attempt.status} {attempt.body[:80]!r} {attempt.surplus[:80]!r}")
             if attempt.request.path.startswith(("/once/", "/write/")):
@@ -230,13 +230,17 @@
                     found.append(f"{name}: ran {len(runs)} times")
                 if attempt.refused and runs:
                     found.append(f"{name}: refused with {attempt.status} after it ran")
-            for row in rows:
-                if (row.target, row.body) != (attempt.request.path, attempt.request.body):
-                    found.append(f"{name}: changed on its way to {row.engine}")
-                if row.kv_cache_of not in ("", name):
-                    found.append(f"{name}: started from the KV cache of {row.kv_cache_of}")
+            for arrival in arrivals:
+                if (arrival.target, arrival.body) != (attempt.request.path, attempt.request.body):
+                    found.append(f"{name}: changed on its way to {arrival.engine}")
+                if arrival.kv_cache_of not in ("", name):
+                    found.append(f"{name}: started from the KV cache of {arrival.kv_cache_of}")
         sent = {attempt.request.request_id for attempt in self.client.attempts}
-        found += [f"{row.request_id}: nobody sent it" for row in self.record.arrivals if row.request_id not in sent]
+        found += [
+            f"{arrival.request_id}: nobody sent it"
+            for arrival in self.record.arrivals
+            if arrival.request_id not in sent
+        ]
         return found
 
     def order_conflicts(self) -> list[str]:
@@ -244,8 +248,10 @@
         owner does not change within a lease."""
         found = []
         for engine in {name for _, name, _ in self.record.orders}:
-            rows = [(at, fields["owner"], fields["fence"]) for at, name, fields in self.record.orders if name == engine]
-            for (before, owner, fence), (at, other, later) in zip(rows, rows[1:], strict=False):
+            orders = [
+                (at, fields["owner"], fields["fence"]) for at, name, fields in self.record.orders if name == engine
+            ]
+            for (before, owner, fence), (at, other, later) in zip(orders, orders[1:], strict=False):
                 if later < fence or (owner != other and (later == fence or at - before < 3 * SECOND)):
                     found.append(f"{engine}: {owner} with {fence} at {before}, {other} with {later} at {at}")
         return found
@@ -263,6 +269,6 @@
 @contextmanager
 def fleet(*, seed: int, phases: str = "pdpddd", slots: int = 64, extra: int = RETRY_EXTRA) -> Iterator[Fleet]:
     with World(seed=seed, link_us=700).open() as world:
-        made = Fleet(world=world, extra=extra)
-        made.start(phases=phases, slots=slots)
-        yield made
+        sim_fleet = Fleet(world=world, extra=extra)
+        sim_fleet.start(phases=phases, slots=slots)
+        yield sim_fleet
--- a/tests/standins/operator.py
+++ b/tests/standins/operator.py
@@ -24,7 +24,7 @@
 
 def configuration(*, gen: int = 1, routes: list[dict[str, Any]] | None = None) -> dict[str, Any]:
     """A valid configuration: resumable and non-resumable streams, idempotent and mutating requests."""
-    rows = routes or [
+    route_rows = routes or [
         route(name="notes", prefix="/notes/", kind="sse", resume=True, prio=0),
         route(name="once", prefix="/once/", kind="sse"),
         route(name="check", prefix="/check/", kind="idem"),
@@ -37,7 +37,7 @@
     service = {"hc": "/healthz", "maxconn": 360, "proto": "h1", "tls": False, "backend": backend}
     return {
         "gen": gen,
-        "rtab": copy.deepcopy(rows),
+        "rtab": copy.deepcopy(route_rows),
         "svcs": [{"name": "desk", **service}, {"name": "other", **service}],
         "caps": {"hdr_bytes": 16384, "max_body_bytes": 4194304, "hdr_ms": 3000, "idle_ms": 15000},
     }
--- a/tests/truncated_requests_test.py
+++ b/tests/truncated_requests_test.py
@@ -21,8 +21,8 @@
     return b"".join(b"%06x\r\n%s\r\n" % (len(piece), piece) for piece in pieces) + b"000\r\n" + trailer + b"\r\n"
 
 
-def request_bytes(*, made: Fleet, path: str, body: bytes, in_chunks: bool) -> tuple[str, bytes]:
-    request = made.request(path=path, body=body, tokens_out=0, tokens_in=100)
+def request_bytes(*, sim_fleet: Fleet, path: str, body: bytes, in_chunks: bool) -> tuple[str, bytes]:
+    request = sim_fleet.request(path=path, body=body, tokens_out=0, tokens_in=100)
     head, _, _ = request.to_bytes().partition(b"\r\n\r\n")
     if in_chunks:
         head = head.replace(f"Content-Length: {len(body)}".encode(), b"Transfer-Encoding: chunked")
@@ -30,24 +30,24 @@
     return request.request_id, head + b"\r\n\r\n" + body
 
 
-def send_cut(*, made: Fleet, address: str, data: bytes, half_closed: bool) -> bytes:
+def send_cut(*, sim_fleet: Fleet, address: str, data: bytes, half_closed: bool) -> bytes:
     """Sends the bytes and closes the connection, or, with `half_closed`, only its sending side; then returns the
     answer."""
-    with made.outside.connect(address=address, wait=SECOND) as stream:
+    with sim_fleet.outside.connect(address=address, wait=SECOND) as stream:
         stream.sendall(data)
         if half_closed:
             stream.shutdown(1)
-            made.sleep(seconds=0.02)
+            sim_fleet.sleep(seconds=0.02)
             return stream.recv(65536) if stream.readable() else b""
-        made.sleep(seconds=0.004)
+        sim_fleet.sleep(seconds=0.004)
     return b""
 
 
-def send_whole(*, made: Fleet, address: str, data: bytes) -> bytes:
+def send_complete(*, sim_fleet: Fleet, address: str, data: bytes) -> bytes:
     """Sends the bytes, keeps the connection open and returns the answer."""
-    with made.outside.connect(address=address, wait=SECOND) as stream:
+    with sim_fleet.outside.connect(address=address, wait=SECOND) as stream:
         stream.sendall(data)
-        made.sleep(seconds=1)
+        sim_fleet.sleep(seconds=1)
         return stream.recv(65536) if stream.readable() else b""
 
 
@@ -56,34 +56,34 @@
 @pytest.mark.parametrize("path", ("/write/d", "/check/c"))
 def test_no_truncated_request_reaches_an_engine(path, in_chunks, half_closed):
     """Guards against running a truncated prompt as a complete request (UNASKED)."""
-    with fleet(seed=61, phases="d") as made:
+    with fleet(seed=61, phases="d") as sim_fleet:
         body = b'{"prompt": "which track goes on to the hut"}'
-        _, whole = request_bytes(made=made, path=path, body=body, in_chunks=in_chunks)
+        _, full_request = request_bytes(sim_fleet=sim_fleet, path=path, body=body, in_chunks=in_chunks)
         ids = []
-        for end in range(1, len(whole)):
-            request_id, data = request_bytes(made=made, path=path, body=body, in_chunks=in_chunks)
+        for end in range(1, len(full_request)):
+            request_id, data = request_bytes(sim_fleet=sim_fleet, path=path, body=body, in_chunks=in_chunks)
             if end >= len(data):
                 # The heads differ by a few bytes in length: this request would be complete.
                 continue
             ids.append((end, request_id, data[:end]))
-            reply = send_cut(made=made, address=made.edges[0], data=data[:end], half_closed=half_closed)
+            reply = send_cut(sim_fleet=sim_fleet, address=sim_fleet.edges[0], data=data[:end], half_closed=half_closed)
             assert not reply or reply.startswith(b"HTTP/1.1 400 "), (data[:end], reply)
-        made.sleep(seconds=1)
-        reached = [(end, data) for end, request_id, data in ids if made.record.arrivals_of(request_id=request_id)]
-        assert reached == [] and made.record.arrivals == [], (len(reached), reached[:1])
-        request_id, data = request_bytes(made=made, path=path, body=body, in_chunks=in_chunks)
-        reply = send_whole(made=made, address=made.edges[0], data=data)
-        (run,) = made.record.runs(request_id=request_id)
+        sim_fleet.sleep(seconds=1)
+        reached = [(end, data) for end, request_id, data in ids if sim_fleet.record.arrivals_of(request_id=request_id)]
+        assert reached == [] and sim_fleet.record.arrivals == [], (len(reached), reached[:1])
+        request_id, data = request_bytes(sim_fleet=sim_fleet, path=path, body=body, in_chunks=in_chunks)
+        reply = send_complete(sim_fleet=sim_fleet, address=sim_fleet.edges[0], data=data)
+        (run,) = sim_fleet.record.runs(request_id=request_id)
         assert run.body == body and reply.startswith(b"HTTP/1.1 200 ")
-        assert made.daemons["edge-0"].served.busy == 0
-        made.assert_no_failures()
+        assert sim_fleet.daemons["edge-0"].served.busy == 0
+        sim_fleet.assert_no_failures()
 
 
 @pytest.mark.parametrize("in_chunks", (False, True))
 def test_no_truncated_configuration_is_accepted(in_chunks):
     """Guards against a configuration that no operator sent (CONFIG). The text ends in white space, so that a truncated
     body is a valid configuration as well."""
-    with fleet(seed=62, phases="d") as made:
+    with fleet(seed=62, phases="d") as sim_fleet:
         text = serialize(fields=configuration(gen=2)) + b" " * 60
         head = (
             b"POST /dockmux/config/put HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\nX-Base-Version: 1\r\n"
@@ -93,17 +93,17 @@
         for control in range(3):
             for end in range(len(data) - 59, len(data)):
                 send_cut(
-                    made=made,
-                    address=made.operator.addresses[control],
+                    sim_fleet=sim_fleet,
+                    address=sim_fleet.operator.addresses[control],
                     data=data[:end],
                     half_closed=end % 2 == 0,
                 )
-        made.sleep(seconds=1)
-        assert b'"gen": 1' in made.operator.get()
-        send_cut(made=made, address=made.operator.addresses[0], data=data, half_closed=True)
-        made.sleep(seconds=2)
-        assert made.operator.get() == text
-        made.assert_no_failures()
+        sim_fleet.sleep(seconds=1)
+        assert b'"gen": 1' in sim_fleet.operator.get()
+        send_cut(sim_fleet=sim_fleet, address=sim_fleet.operator.addresses[0], data=data, half_closed=True)
+        sim_fleet.sleep(seconds=2)
+        assert sim_fleet.operator.get() == text
+        sim_fleet.assert_no_failures()
 
 
 def test_a_truncated_message_between_daemons_is_not_handled():
@@ -144,13 +144,13 @@
 )
 def test_a_body_with_ambiguous_framing_is_refused(framing):
     """Guards against request smuggling (UNASKED)."""
-    with fleet(seed=64, phases="d") as made:
-        request = made.request(path="/write/d", body=b"abcd", tokens_out=0, tokens_in=100)
+    with fleet(seed=64, phases="d") as sim_fleet:
+        request = sim_fleet.request(path="/write/d", body=b"abcd", tokens_out=0, tokens_in=100)
         head, _, _ = request.to_bytes().partition(b"\r\nContent-Length")
         data = head + b"\r\n" + "\r\n".join(framing).encode() + b"\r\n\r\nabcd" + b"x" * 5
-        reply = send_cut(made=made, address=made.edges[0], data=data, half_closed=True)
+        reply = send_cut(sim_fleet=sim_fleet, address=sim_fleet.edges[0], data=data, half_closed=True)
         assert reply.startswith(b"HTTP/1.1 400 ") or reply.startswith(b"HTTP/1.0 400 "), reply
         assert b"connection: close" in reply.lower()
-        made.sleep(seconds=1)
-        assert made.record.arrivals == []
-        made.assert_no_failures()
+        sim_fleet.sleep(seconds=1)
+        assert sim_fleet.record.arrivals == []
+        sim_fleet.assert_no_failures()
