--- a/dockmux/control/chain_replica.py
+++ b/dockmux/control/chain_replica.py
@@ -233,14 +233,14 @@
                 return
             batch, self.pending = self.pending[:MAX_BATCH_ENTRIES], self.pending[MAX_BATCH_ENTRIES:]
             accepted: list[Write] = []
-            answered: list[Write] = []
+            without_entry: list[Write] = []
             tentative = self.tentative.copy()
             entries: list[Entry] = []
             for write in batch:
                 write.verdict = self._validate(write=write, tentative=tentative)
                 if write.verdict is not None:
                     write.index = tentative.mark
-                    answered.append(write)
+                    without_entry.append(write)
                     continue
                 write.index = tentative.mark + 1
                 tentative.apply(mark=write.index, change=write.change)
@@ -250,7 +250,7 @@
                 if entries:
                     self.sync_entries(entries=entries)
             except OSError as error:
-                for write in answered:
+                for write in without_entry:
                     why = {"why": "the state that the change was validated against could not be stored"}
                     write.done.send(Outcome(kind=OutcomeKind.NO_MAJORITY, detail=why))
                 kind = OutcomeKind.UNKNOWN if isinstance(error, AppendOutcomeUnknown) else OutcomeKind.DISK_FULL
@@ -258,7 +258,7 @@
                     write.done.send(Outcome(kind=kind, detail={"why": str(error)}))
                 raise
             self.tentative = tentative
-            self.waiting.extend([*accepted, *answered])
+            self.waiting.extend([*accepted, *without_entry])
             self._answer_acknowledged()
 
     def sync_entries(self, *, entries: list[Entry]) -> None:
@@ -279,20 +279,20 @@
         change = write.change
         now_us = instant_us(self.gossip.clock.issue_time())
         if change["kind"] == "config":
-            refused = validate_version(change=change, tentative=tentative)
-            if refused is not None:
-                return refused
-            last = instant_us(tentative.config.activate) if tentative.config else 0
-            change["activateUs"] = max(now_us + self.settings.activateMs * 1000, last + 1)
+            verdict = validate_version(change=change, tentative=tentative)
+            if verdict is not None:
+                return verdict
+            last_activate_us = instant_us(tentative.config.activate) if tentative.config else 0
+            change["activateUs"] = max(now_us + self.settings.activateMs * 1000, last_activate_us + 1)
         elif change["kind"] == "engines":
             if change.get("based_on") not in (None, tentative.engines_mark):
                 return Outcome(kind=OutcomeKind.MARK_OUTDATED, detail={"mark": tentative.engines_mark})
         elif change["kind"] == "claim":
-            passed = self.host.elapsed() - self.tentative_since
-            change["atUs"] = self.claims_time_us + to_us(passed)
-            held = tentative.claims.holder(key=change["key"], now_us=change["atUs"])
-            if held is not None:
-                return Outcome(kind=OutcomeKind.CLAIMED, detail={"holder": held})
+            elapsed = self.host.elapsed() - self.tentative_since
+            change["atUs"] = self.claims_time_us + to_us(elapsed)
+            holder = tentative.claims.holder(key=change["key"], now_us=change["atUs"])
+            if holder is not None:
+                return Outcome(kind=OutcomeKind.CLAIMED, detail={"holder": holder})
             if len(tentative.claims) >= self.settings.claim_limit:
                 return Outcome(
                     kind=OutcomeKind.BUSY, detail={"why": "the limit on stored claims is reached"}, retry_ms=60_000
@@ -359,17 +359,17 @@
                 return Appended(state="refused", mark=self.synced_index, view=agreement.view)
             if request.mark > self.synced_index:
                 return Appended(state="behind", mark=self.synced_index)
-            fresh = [entry for entry in request.entries if entry.mark > self.synced_index]
-            if fresh and fresh[0].mark != self.synced_index + 1:
+            new_entries = [entry for entry in request.entries if entry.mark > self.synced_index]
+            if new_entries and new_entries[0].mark != self.synced_index + 1:
                 # The predecessor no longer retains the entries in between: leave the chain and rejoin from a snapshot.
                 agreement.behind_retained_log = True
                 return Appended(state="refused", mark=self.synced_index)
-            if fresh:
+            if new_entries:
                 try:
-                    self.sync_entries(entries=fresh)
+                    self.sync_entries(entries=new_entries)
                 except OSError:
                     return Appended(state="disk", mark=self.synced_index)
-                for entry in fresh:
+                for entry in new_entries:
                     self.tentative.apply(mark=entry.mark, change=entry.change)
             upto = self.synced_index
             if not self.store.caught_up and upto >= request.upto:
@@ -393,17 +393,17 @@
 
     def _acknowledge(self, *, mark: int) -> None:
         """Applies the entries that a tail has acknowledged, up to `mark`, and answers the waiting writes."""
-        newest = self.state.news_mark
+        previous_news_mark = self.state.news_mark
         for entry in self.entries_after(mark=self.state.mark):
             if entry.mark > mark:
                 break
             self.state.apply(mark=entry.mark, change=entry.change)
         self.note_known_configs()
-        if self.state.news_mark != newest:
+        if self.state.news_mark != previous_news_mark:
             self.news_changed.notify_all()
         number = self.agreement.view.number
-        before = self.acknowledged[1] if self.acknowledged[0] == number else 0
-        self.acknowledged = (number, max(mark, before))
+        previous_mark = self.acknowledged[1] if self.acknowledged[0] == number else 0
+        self.acknowledged = (number, max(mark, previous_mark))
         self._answer_acknowledged()
 
     def _answer_acknowledged(self) -> None:
@@ -412,14 +412,14 @@
         number, mark = self.acknowledged
         if number != view.number:
             return
-        done = [write for write in self.waiting if write.index <= mark]
+        decided = [write for write in self.waiting if write.index <= mark]
         self.waiting = [write for write in self.waiting if write.index > mark]
-        for write in done:
+        for write in decided:
             if len(view.chain) < self.settings.copies:
-                why = {
+                detail = {
                     "why": f"the chain has {len(view.chain)} members, but a change needs {self.settings.copies} copies"
                 }
-                write.done.send(Outcome(kind=OutcomeKind.UNKNOWN, detail=why))
+                write.done.send(Outcome(kind=OutcomeKind.UNKNOWN, detail=detail))
             else:
                 write.done.send(write.verdict or self._accepted_outcome(write=write))
 
@@ -440,8 +440,8 @@
         """Compacts a log file that has grown long, detects a stalled disk, and retries a failed one."""
         while True:
             self.host.sleep(wait=ms(500))
-            busy = self.disk_busy_since
-            if busy is not None and self.host.elapsed() - busy > DISK_STALL_TIMEOUT:
+            busy_since = self.disk_busy_since
+            if busy_since is not None and self.host.elapsed() - busy_since > DISK_STALL_TIMEOUT:
                 self.agreement.disk_failed = True
             elif self.agreement.disk_failed:
                 # Members of the chain retry as well: if every disk has failed, no view can remove any of them.
@@ -490,9 +490,9 @@
             return True
         if not self.agreement.is_member() or self.agreement.is_tail():
             return False
-        began = self.host.elapsed()
+        started_at = self.host.elapsed()
         self._confirm_with_tail()
-        return self.fresh_as_of >= began
+        return self.fresh_as_of >= started_at
 
     def _confirm_with_tail(self) -> None:
         """Asks the tail up to which index entries are acknowledged. The request and the reply also carry sessions."""
@@ -503,7 +503,7 @@
             return
         if self.sessions.exchange.tail != tail:
             self.sessions.exchange = TailExchange(tail=tail, sent_upto=ZERO, received_until_us=0)
-        sent = self.host.elapsed()
+        sent_at = self.host.elapsed()
         request = ConfirmAsk(
             number=agreement.view.number,
             sessions=self.sessions.active(since=self.sessions.exchange.sent_upto, at=self.sessions.renewed_at),
@@ -515,11 +515,11 @@
             # The tail may have restarted, and lost the sessions that it was sent.
             self.sessions.exchange = TailExchange(tail=tail, sent_upto=ZERO, received_until_us=0)
             return
-        self.sessions.exchange = TailExchange(tail=tail, sent_upto=sent, received_until_us=reply.untilUs)
+        self.sessions.exchange = TailExchange(tail=tail, sent_upto=sent_at, received_until_us=reply.untilUs)
         agreement.learn(view=reply.view)
         if reply.granted and agreement.view.number == request.number and reply.mark <= self.synced_index:
             self._acknowledge(mark=reply.mark)
-            self.fresh_as_of = max(self.fresh_as_of, sent)
+            self.fresh_as_of = max(self.fresh_as_of, sent_at)
         self.sessions.merge(cards=reply.sessions)
 
     def on_confirm(self, *, request: ConfirmAsk) -> ConfirmReply:
--- a/dockmux/control/view_agreement.py
+++ b/dockmux/control/view_agreement.py
@@ -73,7 +73,7 @@
       predecessor no longer retains the entries that this member lacks; either gets this member removed from the chain;
     - a member that is not caught up never becomes the head: it refuses to accept such a view, and no view is proposed
       unless its head has reported with its promise that it is caught up;
-    - a member that is `leaving` neither commands engines nor rejoins; it is removed by a view in which enough
+    - a member that is `leaving` sends no orders to engines and does not rejoin; it is removed by a view in which enough
       caught-up members remain;
     - `append_lock` is held while entries are appended, so that no view is adopted meanwhile;
     - `grants` has, for each voter, when the request was sent that it last granted under the current view.
@@ -146,9 +146,9 @@
         """When this member's lease expires, on the monotonic clock; zero if it holds none."""
         if not self.is_member():
             return ZERO
-        asked = sorted((self.grants.get(voter, ZERO) for voter in self.view.voters), reverse=True)
-        needed = len(self.view.voters) // 2
-        return asked[needed] + self.lease_duration if asked[needed] else ZERO
+        request_times = sorted((self.grants.get(voter, ZERO) for voter in self.view.voters), reverse=True)
+        majority_index = len(self.view.voters) // 2
+        return request_times[majority_index] + self.lease_duration if request_times[majority_index] else ZERO
 
     def holds_lease(self) -> bool:
         """Whether this member may act under its view now."""
@@ -174,7 +174,7 @@
 
     def _request_grant(self, *, voter: str, number: int) -> None:
         try:
-            sent = self.host.elapsed()
+            sent_at = self.host.elapsed()
             request = GrantAsk(number=number, disk=self.own_disk, leaving=self.leaving)
             if voter == self.own_disk:
                 reply = self.on_grant(request=request)
@@ -187,7 +187,7 @@
                 return
             self.last_heard[voter] = self.host.elapsed()
             if reply.granted and self.view.number == number:
-                self.grants[voter] = max(sent, self.grants.get(voter, ZERO))
+                self.grants[voter] = max(sent_at, self.grants.get(voter, ZERO))
             self.learn(view=reply.view)
         except OSError:
             return
@@ -221,12 +221,12 @@
         with self.append_lock, self.vote_lock:
             if self.view is not None and view.number <= self.view.number:
                 return
-            level = self._stays_caught_up(view=view)
+            caught_up = self._stays_caught_up(view=view)
             try:
-                self.store.vote(view=view, level=level)
+                self.store.vote(view=view, level=caught_up)
             except OSError as error:
                 # The view is decided whether or not this disk can store it; after a restart it is learned again.
-                self.store.view, self.store.caught_up = view, level
+                self.store.view, self.store.caught_up = view, caught_up
                 self.note_disk_failure(error=error)
             self.grants.clear()
             self.join_candidates.clear()
@@ -244,10 +244,10 @@
             return False
         if view.number == 1:
             return True
-        old = self.view
-        if old is None or self.own_disk not in old.chain or not self.store.caught_up:
+        previous = self.view
+        if previous is None or self.own_disk not in previous.chain or not self.store.caught_up:
             return False
-        return view.joined.get(self.own_disk, view.number - 1) <= old.number
+        return view.joined.get(self.own_disk, view.number - 1) <= previous.number
 
     def _is_caught_up(self) -> bool:
         """Whether this member is in the chain and holds every acknowledged entry."""
@@ -382,43 +382,45 @@
         earlier ballot takes precedence over the one given. Otherwise the head, and at least `copies` members of the
         new chain, must have reported with their promises that they are caught up: a caught-up member stays so until
         the view is adopted."""
-        old = self.view
-        wanted = View(number=old.number + 1, chain=chain, voters=voters, joined=self._joined_since(chain=chain))
-        self.host.log(LogEvent.VIEW_PROPOSED, number=wanted.number, chain=",".join(chain), voters=",".join(voters))
+        current = self.view
+        proposed = View(number=current.number + 1, chain=chain, voters=voters, joined=self._joined_since(chain=chain))
+        self.host.log(LogEvent.VIEW_PROPOSED, number=proposed.number, chain=",".join(chain), voters=",".join(voters))
         self.ballot += 1
-        majority = len(old.voters) // 2 + 1
-        request = PromiseAsk(number=wanted.number, ballot=self.ballot, proposer=self.own_disk)
+        majority = len(current.voters) // 2 + 1
+        request = PromiseAsk(number=proposed.number, ballot=self.ballot, proposer=self.own_disk)
 
-        def promised(replies: list[VoteReply]) -> bool:
+        def enough_promises(replies: list[VoteReply]) -> bool:
             previously_accepted = any(reply.accepted is not None for reply in replies)
             return _count_granted(replies) >= majority and (
-                previously_accepted or _enough_caught_up(replies, view=wanted, copies=copies)
+                previously_accepted or _enough_caught_up(replies, view=proposed, copies=copies)
             )  # fmt: skip
 
         promises = self._request_votes(
-            request=request, voters=old.voters, local_handler=self.on_promise, is_enough=promised
+            request=request, voters=current.voters, local_handler=self.on_promise, is_enough=enough_promises
         )
         self._process_replies(replies=promises)
-        if _count_granted(promises) < majority or self.view is not old:
+        if _count_granted(promises) < majority or self.view is not current:
             return False
-        earlier = [reply for reply in promises if reply.granted and reply.accepted is not None]
-        if not earlier and not _enough_caught_up(promises, view=wanted, copies=copies):
+        accepted_earlier = [reply for reply in promises if reply.granted and reply.accepted is not None]
+        if not accepted_earlier and not _enough_caught_up(promises, view=proposed, copies=copies):
             return False
-        if earlier:
-            wanted = max(earlier, key=lambda reply: (reply.accepted_ballot, reply.accepted_proposer)).accepted
-        accept = AcceptAsk(ballot=self.ballot, proposer=self.own_disk, view=wanted)
+        if accepted_earlier:
+            proposed = max(
+                accepted_earlier, key=lambda reply: (reply.accepted_ballot, reply.accepted_proposer)
+            ).accepted
+        accept = AcceptAsk(ballot=self.ballot, proposer=self.own_disk, view=proposed)
 
-        def accepted(replies: list[VoteReply]) -> bool:
+        def enough_accepts(replies: list[VoteReply]) -> bool:
             return _count_granted(replies) >= majority
 
         accepts = self._request_votes(
-            request=accept, voters=old.voters, local_handler=self.on_accept, is_enough=accepted
+            request=accept, voters=current.voters, local_handler=self.on_accept, is_enough=enough_accepts
         )
         self._process_replies(replies=accepts)
         if _count_granted(accepts) < majority:
             return False
-        self._broadcast_view(view=wanted)
-        self.learn(view=wanted)
+        self._broadcast_view(view=proposed)
+        self.learn(view=proposed)
         return True
 
     def _joined_since(self, *, chain: list[str]) -> dict[str, int]:
@@ -452,10 +454,10 @@
     def _founders(self) -> Founders | None:
         """The first `settings.cores` disks, seeds first; None until enough cores and every seed have been heard from.
         All cores are configured with the same seeds, so they agree on the proposer whichever other cores they know."""
-        heard = {card.address: card for card in self.peers.live_cards()}
-        if any(seed not in heard and seed != self.settings.address for seed in self.settings.seeds):
+        cards_by_address = {card.address: card for card in self.peers.live_cards()}
+        if any(seed not in cards_by_address and seed != self.settings.address for seed in self.settings.seeds):
             return None
-        disks = {card.address: card.disk for card in heard.values() if card.role == "core" and card.disk}
+        disks = {card.address: card.disk for card in cards_by_address.values() if card.role == "core" and card.disk}
         disks[self.settings.address] = self.own_disk
         seeds = sorted(disk for address, disk in disks.items() if address in self.settings.seeds)
         others = sorted(disk for address, disk in disks.items() if address not in self.settings.seeds)
@@ -528,14 +530,14 @@
             view = self.view
             if view is None or self.own_disk not in view.voters:
                 continue
-            silent = {disk: self.silence_of(disk=disk) for disk in {*view.chain, *view.voters}}
-            live = [disk for disk in view.voters if silent[disk] <= self.suspect_timeout]
+            silence = {disk: self.silence_of(disk=disk) for disk in {*view.chain, *view.voters}}
+            live = [disk for disk in view.voters if silence[disk] <= self.suspect_timeout]
             if self.own_disk not in live or len(live) <= len(view.voters) // 2:
                 continue
             # The first live voter proposes; each later one waits a lease duration longer, so that ballots rarely
             # collide.
             removal_timeout = self.suspect_timeout + self.lease_duration * live.index(self.own_disk)
-            removed = [disk for disk in view.chain if silent[disk] > removal_timeout]
+            removed = [disk for disk in view.chain if silence[disk] > removal_timeout]
             if (self.disk_failed or self.behind_retained_log) and self.own_disk in view.chain:
                 removed.append(self.own_disk)
             planned_leave = self._may_leave(remaining=[disk for disk in view.chain if disk not in removed])
@@ -551,8 +553,8 @@
             if undecided and not (removed or joiner) and self.host.elapsed() - self.view_adopted_at < removal_timeout:
                 continue
             for disk in removed:
-                self.host.log(LogEvent.CORE_SUSPECTED, disk=disk, silentMs=to_ms(silent[disk]))
-            voters = self._next_voters(view=view, joiner=joiner, silent=silent)
+                self.host.log(LogEvent.CORE_SUSPECTED, disk=disk, silentMs=to_ms(silence[disk]))
+            voters = self._next_voters(view=view, joiner=joiner, silent=silence)
             if chain[0] == self.own_disk and not self.store.caught_up:
                 continue
             copies = self.settings.copies if planned_leave else 1
--- a/dockmux/platform_proxy/dispatcher.py
+++ b/dockmux/platform_proxy/dispatcher.py
@@ -1,4 +1,4 @@
-"""Carries a request from admission to its end: selects engines, sends, relays the answer and retries."""
+"""Processes a request from admission to completion: selects engines, sends, relays the answer and retries."""
 
 import contextlib
 import dataclasses
@@ -107,7 +107,7 @@
                 yield Completion(kind=OutcomeKind.ANSWERED)
                 return
 
-    # Before a send.
+    # Planning a send.
 
     def _completion_before_send(self, *, record: RequestRecord, committed: bool) -> Completion | None:
         """The request's completion if it may be sent to no further engine, else None. `committed` means that the client
@@ -132,8 +132,8 @@
         pairing = self._select_engines(record=record)
         if pairing is None:
             return Completion(kind=OutcomeKind.NO_ENGINE, reason="no engine is available")
-        if not record.may_have_run and (busy := self._overloaded(record=record, pairing=pairing)) is not None:
-            return busy
+        if not record.may_have_run and (refusal := self._overloaded(record=record, pairing=pairing)) is not None:
+            return refusal
         if pairing.includes(engines=record.unreachable):
             self._pause_before_retry(record=record)
             if self._expired(record=record):
@@ -174,8 +174,8 @@
         would be tried thousands of times a second."""
         pause = min(MIN_RETRY_DELAY * 2**record.retry_pauses, MAX_RETRY_DELAY)
         record.retry_pauses = min(record.retry_pauses + 1, 8)
-        left = record.expires_at() - self.host.elapsed()
-        self.host.sleep(wait=max(min(pause, left), ZERO))
+        time_left = record.expires_at() - self.host.elapsed()
+        self.host.sleep(wait=max(min(pause, time_left), ZERO))
 
     def _expired(self, *, record: RequestRecord) -> bool:
         return self.host.elapsed() >= record.expires_at()
@@ -186,8 +186,8 @@
         return record.disconnected
 
     def _is_abandoned(self, *, record: RequestRecord) -> bool:
-        """Whether the client has disconnected or the request has expired: an answer that breaks off then, perhaps since
-        this daemon cancelled the call, is no evidence against the engine."""
+        """Whether the client has disconnected or the request has expired: an answer that then breaks off, perhaps
+        because this daemon cancelled the call, does not count as a failure of the engine."""
         return record.disconnected or self._expired(record=record)
 
     def _take_retry(self, *, record: RequestRecord, first: bool) -> bool:
@@ -205,18 +205,18 @@
         """The service's engines that may get new work: neither draining nor changing their phase."""
         now = self.host.elapsed()
         for engine, (phase, expires_at) in list(self.phase_changes.items()):
-            row = self.directory.rows.get(engine)
-            if now >= expires_at or row is None or row.phase == phase:
+            entry = self.directory.rows.get(engine)
+            if now >= expires_at or entry is None or entry.phase == phase:
                 del self.phase_changes[engine]
         return [
-            row
-            for row in self.directory.rows.values()
-            if row.service == service and not row.leaving and row.engine not in self.phase_changes
+            entry
+            for entry in self.directory.rows.values()
+            if entry.service == service and not entry.leaving and entry.engine not in self.phase_changes
         ]
 
     def _is_available(self, *, engine: EngineEntry) -> bool:
-        row = self.directory.rows.get(engine.engine)
-        return row is not None and not row.leaving and row.address == engine.address
+        entry = self.directory.rows.get(engine.engine)
+        return entry is not None and not entry.leaving and entry.address == engine.address
 
     def _select_engines(self, *, record: RequestRecord) -> Pairing | None:
         engines = self.available_engines(service=record.service)
@@ -284,7 +284,7 @@
         if kv_handle is not None:
             self.unused_kv_handles.append(kv_handle)
 
-    # A send and its answer.
+    # Sending, and relaying the answer.
 
     def _send(self, *, record: RequestRecord, relay: Relay, plan: SendPlan) -> Iterator[bytes]:
         """Sends the request and yields the client's bytes; returns whether the request is finished."""
@@ -383,8 +383,8 @@
     def _note_engine_failure(
         self, *, record: RequestRecord, engine: EngineEntry, result: Unsent | Rejected | UnknownOutcome
     ) -> None:
-        """Excludes the engine from the request's next tries, and counts the failure unless the request itself was
-        rejected or nobody waits for it any more."""
+        """Excludes the engine from the request's next sends, and counts the failure unless the request itself was
+        rejected or its client no longer waits for it."""
         record.avoid.add(engine.engine)
         if isinstance(result, Unsent):
             record.unreachable.add(engine.engine)
--- a/dockmux/platform_proxy/edge.py
+++ b/dockmux/platform_proxy/edge.py
@@ -35,16 +35,16 @@
 REPORT_INTERVAL = timedelta(milliseconds=200)
 IDLE_REPORT_INTERVAL = timedelta(milliseconds=1000)
 # A change in prefill backlog of at least this much, summed over engines, is reported at the next maintenance run:
-# within the ordinary interval all other daemons would choose the engine last known to be idle.
+# until the ordinary report all other daemons would choose the engine last known to be idle.
 URGENT_BACKLOG_CHANGE_MS = 60
-# Daemons that receive each summary, chosen at random; the head gets it as well.
+# Number of edge daemons that receive each load summary, chosen at random; the chain's head receives it as well.
 REPORT_FANOUT = 12
 DIRECTORY_TIMEOUT = timedelta(milliseconds=800)
 
 
 def backlog_change(*, previous: dict[str, list[int]], now: dict[str, list[int]]) -> int:
     """The difference between two load summaries in prefill backlog, in ms, summed over all engines."""
-    return sum(abs(now.get(e, [0])[0] - previous.get(e, [0])[0]) for e in {*previous, *now})
+    return sum(abs(now.get(engine, [0])[0] - previous.get(engine, [0])[0]) for engine in {*previous, *now})
 
 
 class Edge:
@@ -69,16 +69,16 @@
         """Opens the daemon's sockets and runs its tasks while the context is open."""
         host, settings, deployment = self.host, self.settings, self.deployment
         with (
-            host.open_datagram_socket(address=settings.address) as port,
-            host.listen(address=settings.address) as listener,
-            host.listen(address=deployment.http_address) as front,
-            host.listen(address=deployment.readyz_address) as ready,
+            host.open_datagram_socket(address=settings.address) as gossip_socket,
+            host.listen(address=settings.address) as rpc_listener,
+            host.listen(address=deployment.http_address) as http_listener,
+            host.listen(address=deployment.readyz_address) as readiness_listener,
             RpcClient(host=host) as rpc_client,
             ConnectionPool(host=host) as connection_pool,
             TaskGroup(host=host) as task_group,
         ):
             self.task_group, self.rpc_client, self.connection_pool = task_group, rpc_client, connection_pool
-            self.gossip = GossipEndpoint(host=host, settings=settings, peers=self.peers, port=port)
+            self.gossip = GossipEndpoint(host=host, settings=settings, peers=self.peers, port=gossip_socket)
             self.config_tracker = ConfigTracker(
                 host=host, gossip=self.gossip, rpc_client=rpc_client, protocol=self.protocol
             )
@@ -102,7 +102,7 @@
             self.probing: set[str] = set()
             rpc_server = RpcServer(
                 host=host,
-                listener=listener,
+                listener=rpc_listener,
                 handlers={NewsAsk: self.config_tracker.on_news, DirectoryAsk: self.on_directory},
             )
             for task in (
@@ -111,9 +111,9 @@
             ):  # fmt: skip
                 task_group.supervise(task=task)
             task_group.supervise(
-                task=serve, host=host, listener=front, handler=self.handle_http, connections=self.served
+                task=serve, host=host, listener=http_listener, handler=self.handle_http, connections=self.served
             )
-            task_group.supervise(task=serve, host=host, listener=ready, handler=self.handle_readiness)
+            task_group.supervise(task=serve, host=host, listener=readiness_listener, handler=self.handle_readiness)
             host.log(LogEvent.STARTED, role="edge", name=settings.name, address=settings.address)
             yield self
 
@@ -166,7 +166,7 @@
             "ready": self.is_ready(),
             "version": self.config_tracker.table.version if self.config_tracker.table else None,
             "engines": len(self.directory.rows),
-            "failing": sorted(e for e in self.directory.rows if self.engine_health.is_failing(engine=e)),
+            "failing": sorted(engine for engine in self.directory.rows if self.engine_health.is_failing(engine=engine)),
             "list_age_ms": min(to_ms(self.directory.age), 86_400_000),
             "peers": [card.name for card in self.peers.live_cards()],
             "clock": self.gossip.report(),
@@ -183,8 +183,8 @@
         return len(self.edges()) + 1
 
     def run_maintenance(self) -> None:
-        """Processes messages, expires and cancels requests, and reports to the other daemons, without end."""
-        sent_at, swept_at, last_summary = -IDLE_REPORT_INTERVAL, ZERO, {}
+        """Periodically processes messages, cancels requests and reports to the other daemons; never returns."""
+        sent_at, cleaned_at, last_summary = -IDLE_REPORT_INTERVAL, ZERO, {}
         while True:
             self.host.sleep(wait=MAINTENANCE_INTERVAL)
             self._receive_messages()
@@ -207,8 +207,8 @@
             if now - sent_at >= wait:
                 self._send_summary(works=summary)
                 sent_at, last_summary = now, summary
-            if now - swept_at >= IDLE_REPORT_INTERVAL:
-                swept_at = now
+            if now - cleaned_at >= IDLE_REPORT_INTERVAL:
+                cleaned_at = now
                 self.connection_pool.close_expired()
                 self.engine_health.forget(engines=set(self.directory.rows))
                 names = {card.name for card in self.edges()}
@@ -225,18 +225,18 @@
 
     def _receive_messages(self) -> None:
         self.gossip.usage_summaries.clear()
-        moving, self.gossip.moving_notices[:] = list(self.gossip.moving_notices), []
-        for arrived, message in moving:
-            self.dispatcher.phase_changes[message.engine] = (message.phase, arrived + ms(message.left_ms))
-        received, self.gossip.work_summaries[:] = list(self.gossip.work_summaries), []
-        for arrived, summary in received:
+        moving_notices, self.gossip.moving_notices[:] = list(self.gossip.moving_notices), []
+        for received_at, message in moving_notices:
+            self.dispatcher.phase_changes[message.engine] = (message.phase, received_at + ms(message.left_ms))
+        work_summaries, self.gossip.work_summaries[:] = list(self.gossip.work_summaries), []
+        for received_at, summary in work_summaries:
             name = summary.sender.name
             self.load_tracker.update_peer(daemon=name, works=summary.works)
             self.engine_health.update_from_peer(summary=summary.verdicts)
             self.budget.update_peer(daemon=name, draws=summary.spent)
             needs_full_list = self.directory.merge_peer(
                 digest=summary.list_digest, origin=summary.list_origin,
-                requested_at=arrived - ms(summary.list_age_ms), delta=summary.list_delta,
+                requested_at=received_at - ms(summary.list_age_ms), delta=summary.list_delta,
             )  # fmt: skip
             if needs_full_list and not self.fetching:
                 self.fetching = True
@@ -295,10 +295,10 @@
 
     def _probe_failing(self) -> None:
         for engine in {*self.engine_health.due_for_probe(), *self.request_table.silent_engines()}:
-            row = self.directory.rows.get(engine)
-            if row is not None and engine not in self.probing:
+            entry = self.directory.rows.get(engine)
+            if entry is not None and engine not in self.probing:
                 self.probing.add(engine)
-                self.task_group.start(task=self._probe, engine=row)
+                self.task_group.start(task=self._probe, engine=entry)
 
     def _probe(self, *, engine: EngineEntry) -> None:
         """Runs a health check and records its result."""
--- a/dockmux/platform_proxy/engine_client.py
+++ b/dockmux/platform_proxy/engine_client.py
@@ -53,7 +53,7 @@
 
     @property
     def is_engine_failure(self) -> bool:
-        """Whether the status blames the engine and not the request."""
+        """Whether the status means a failure of the engine and not of the request."""
         return self.status >= 500
 
     def chunks(self) -> Iterator[bytes]:
@@ -109,10 +109,10 @@
     ) -> Iterator[EngineResponse | Unsent | Rejected | UnknownOutcome]:  # fmt: skip
         with contextlib.ExitStack() as stack:
             try:
-                opened = self.connection_pool.open(
+                connection_context = self.connection_pool.open(
                     engine=engine.engine, address=engine.address, request_id=record.metadata.request_id
                 )  # fmt: skip
-                connection = stack.enter_context(opened)
+                connection = stack.enter_context(connection_context)
             except ConnectError as error:
                 yield Unsent(reason=str(error), refused=error.refused)
                 return
@@ -148,10 +148,14 @@
         except WIRE_ERRORS as error:
             return UnknownOutcome(reason=f"{type(error).__name__}: {error}")
         record.last_activity_at = self.host.elapsed()
-        rows = list(response.headers.iteritems())
-        metadata = self.protocol.parse_response(status=response.status, headers=rows)
+        response_headers = list(response.headers.iteritems())
+        metadata = self.protocol.parse_response(status=response.status, headers=response_headers)
         answer = EngineResponse(
-            status=response.status, headers=rows, metadata=metadata, response=response, connection=connection
+            status=response.status,
+            headers=response_headers,
+            metadata=metadata,
+            response=response,
+            connection=connection,
         )
         defect = self._find_defect(record=record, answer=answer, prefill=prefill)
         if metadata.not_run and not defect:
@@ -204,7 +208,7 @@
         return answer is not None and answer[0] == 200 and answer[2].engine == engine.engine
 
     def fetch_report(self, *, engine: EngineEntry) -> EngineReport | None:
-        """The engine's load report; None if it cannot be had."""
+        """The engine's load report; None if it cannot be fetched or parsed."""
         answer = self._control_call(
             engine=engine.engine, address=engine.address, method="GET", path=self.protocol.report_path
         )  # fmt: skip
--- a/dockmux/platform_proxy/placement.py
+++ b/dockmux/platform_proxy/placement.py
@@ -20,10 +20,10 @@
 # Cost per token of recomputing a shared prefix that another engine has cached, and of moving KV cache.
 RECOMPUTE_COST_PER_TOKEN = timedelta(microseconds=100)
 KV_TRANSFER_COST_PER_TOKEN = timedelta(microseconds=20)
-# Each stream in the same batch delays every token of the others by this much.
+# Each stream in a decode batch delays every token of the other streams by this much.
 TOKEN_DELAY_PER_STREAM = timedelta(microseconds=100)
-# Up to this many streams are added at random, because the other daemons choose by the same, slightly old counts and
-# would all pick the same engine.
+# Up to this many streams are added at random, because the other daemons choose by the same, slightly outdated counts
+# and would all pick the same engine.
 MAX_RANDOM_STREAMS = 2.0
 FIRST_TOKEN_TIME = timedelta(milliseconds=15)
 # Time from sending a prefill to its start, besides the time for its tokens.
@@ -93,10 +93,10 @@
 
     def note_prefill_rate(self, *, service: str, tokens: int, span: timedelta) -> None:
         """Updates the prefill rate from a prompt that was prefilled on an engine with no other known prefill."""
-        took_ms = (span - PREFILL_SETUP_TIME) / ms(1)
-        if tokens < MIN_RATE_SAMPLE_TOKENS or took_ms <= 0:
+        prefill_ms = (span - PREFILL_SETUP_TIME) / ms(1)
+        if tokens < MIN_RATE_SAMPLE_TOKENS or prefill_ms <= 0:
             return
-        sample = min(max(tokens / took_ms, 1.0), 1000.0)
+        sample = min(max(tokens / prefill_ms, 1.0), 1000.0)
         previous = self.prefill_rates.get(service, INITIAL_PREFILL_TOKENS_PER_MS)
         self.prefill_rates[service] = previous + PREFILL_RATE_SMOOTHING * (sample - previous)
 
@@ -154,28 +154,28 @@
         for rank, engine in enumerate(ranked):
             tokens = self.uncached_tokens(engine=engine, metadata=metadata, is_home=bool(key) and rank == 0)
             span = self.prefill_time(service=service, tokens=tokens) * slowdown
-            ready = (
+            ready_in = (
                 self.load_tracker.backlog(engine=engine.engine)
                 + span
                 + self._zone_latency(engine=engine, zone=self.zone)
             )
             # The second engine in the order is the common fallback, so it has probably cached the prefix already.
             recompute_cost = RECOMPUTE_COST_PER_TOKEN * max(tokens - own_tokens, 0) * (0.5 if key and rank == 1 else 1)
-            candidates.append((ready + recompute_cost, engine.engine, ready, span, engine))
-        _, _, ready, span, engine = min(candidates, key=lambda row: row[:2])
-        return ready, span, engine
+            candidates.append((ready_in + recompute_cost, engine.engine, ready_in, span, engine))
+        _, _, ready_in, span, engine = min(candidates, key=lambda candidate: candidate[:2])
+        return ready_in, span, engine
 
     def _colocated(
         self, *, service: str, metadata: RequestMetadata, decode_engines: list[EngineEntry], use_affinity: bool
     ) -> tuple[timedelta, Pairing]:
-        ready, span, engine = self._fastest_prefill(
+        ready_in, span, engine = self._fastest_prefill(
             service=service,
             metadata=metadata,
             engines=decode_engines,
             slowdown=DECODE_ENGINE_PREFILL_SLOWDOWN,
             use_affinity=use_affinity,
         )
-        expected_ttft = ready + FIRST_TOKEN_TIME
+        expected_ttft = ready_in + FIRST_TOKEN_TIME
         pairing = Pairing(
             prefill_engine=None, prefill_time=ZERO, decode_engine=engine, local_prefill_time=span,
             expected_ttft=expected_ttft, queue_wait=self.load_tracker.backlog(engine=engine.engine),
@@ -189,13 +189,13 @@
         self, *, service: str, metadata: RequestMetadata, prefill_engines: list[EngineEntry],
         decode_engines: list[EngineEntry],
     ) -> tuple[timedelta, Pairing]:  # fmt: skip
-        ready, span, prefill_engine = self._fastest_prefill(
+        ready_in, span, prefill_engine = self._fastest_prefill(
             service=service, metadata=metadata, engines=prefill_engines, slowdown=1.0, use_affinity=True
         )
         decode_engine = self.choose_decode_engine(
             metadata=metadata, decode_engines=decode_engines, near_zone=prefill_engine.zone
         )
-        expected_ttft = ready + KV_TRANSFER_OVERHEAD + FIRST_TOKEN_TIME
+        expected_ttft = ready_in + KV_TRANSFER_OVERHEAD + FIRST_TOKEN_TIME
         pairing = Pairing(
             prefill_engine=prefill_engine, prefill_time=span, decode_engine=decode_engine,
             local_prefill_time=ZERO, expected_ttft=expected_ttft,
--- a/dockmux/platform_proxy/request_table.py
+++ b/dockmux/platform_proxy/request_table.py
@@ -20,9 +20,9 @@
 
 # Deadline of a request that states none.
 DEFAULT_DEADLINE = timedelta(seconds=30)
-# A repeatable request leaves an engine that is marked as failing after this long without a sign of life.
+# A repeatable request leaves an engine that is marked as failing after receiving nothing from it for this long.
 FAILOVER_SILENCE = timedelta(milliseconds=700)
-# An engine's health is checked after this long without a sign of life.
+# An engine's health is checked after nothing was received from it for this long.
 HEALTH_CHECK_SILENCE = timedelta(milliseconds=1500)
 
 
@@ -95,12 +95,12 @@
                 self._cancel_call(record=record)
 
     def silent_engines(self) -> set[str]:
-        """Engines to be health-checked: requests wait for them and none has received anything for long."""
+        """Engines to be health-checked: requests wait for them and have received nothing for `HEALTH_CHECK_SILENCE`."""
         now = self.host.elapsed()
         waiting = {
-            r.engine
-            for r in self.records.values()
-            if r.connection is not None and now - r.last_activity_at > HEALTH_CHECK_SILENCE
+            record.engine
+            for record in self.records.values()
+            if record.connection is not None and now - record.last_activity_at > HEALTH_CHECK_SILENCE
         }
         silent = {
             engine for engine in waiting if now - self.dispatcher.last_activity.get(engine, ZERO) > HEALTH_CHECK_SILENCE
--- a/dockmux/simulator/checks.py
+++ b/dockmux/simulator/checks.py
@@ -1,4 +1,4 @@
-"""Checks of a run's ground truth against the twelve rules of the service, and one more.
+"""Checks of a run's ground truth against the twelve rules of the service, and that every request gets an answer.
 
 Each check returns one line for each violation; an empty list is a pass. The number in a check's docstring is the
 rule's; the sentence after it says what violates the rule.
@@ -35,7 +35,7 @@
     """Whether the attempt was refused.
 
     bad_identity doesn't count: the attempt had another body, so it was another request, and the answer says nothing
-    about the request that owns the identity.
+    about the request that the identity belongs to.
     """
     return (
         attempt.kind in set(OutcomeKind) - {OutcomeKind.BAD_IDENTITY}
@@ -55,15 +55,19 @@
     for attempt in truth.attempts:
         attempts[f"{attempt.lane}/{attempt.identity}"].append(attempt)
     violations = []
-    for request, of_request in attempts.items():
-        of_request.sort(key=lambda attempt: attempt.attempt)
-        for index, attempt in enumerate(of_request):
+    for request, request_attempts in attempts.items():
+        request_attempts.sort(key=lambda attempt: attempt.attempt)
+        for index, attempt in enumerate(request_attempts):
             next_attempt_at = (
-                of_request[index + 1].intended if index + 1 < len(of_request) else truth.ended_at + 60 * SECOND
+                request_attempts[index + 1].intended
+                if index + 1 < len(request_attempts)
+                else truth.ended_at + 60 * SECOND
             )
-            before = [at for at in call_times[request] if at < next_attempt_at]
-            if _refused(attempt=attempt) and before:
-                violations.append(f"{request}: refused as {attempt.kind} at {attempt.ended}, but ran at {before[0]}")
+            earlier_calls = [at for at in call_times[request] if at < next_attempt_at]
+            if _refused(attempt=attempt) and earlier_calls:
+                violations.append(
+                    f"{request}: refused as {attempt.kind} at {attempt.ended}, but ran at {earlier_calls[0]}"
+                )
     return violations
 
 
@@ -165,12 +169,13 @@
     """
     violations = _calls_contradicting_their_config(truth=truth)
     acked = sorted(
-        ((change.ended, change.mark) for change in truth.config_changes if change.status == 200), key=lambda a: a[0]
+        ((change.ended, change.mark) for change in truth.config_changes if change.status == 200),
+        key=lambda acked_change: acked_change[0],
     )
     newest, newest_at = 0, timedelta()
     for event in truth.engine_calls():
         mark = event.fields["mark"]
-        due = max((m for at, m in acked if event.at > at + 2 * SECOND), default=0)
+        due = max((acked_mark for at, acked_mark in acked if event.at > at + 2 * SECOND), default=0)
         if mark < due:
             violations.append(f"{event.engine} got {event.fields['request']} under {mark} at {event.at}; {due} was due")
         if mark > newest:
@@ -190,13 +195,13 @@
     acked = [change for change in truth.config_changes if change.status == 200]
     acked_marks = {change.mark for change in acked}
     undecided_trees = [change.tree for change in truth.config_changes if change.status in (0, 504)]
-    kept = {config["mark"]: config["tree"] for config in truth.kept_configs}
+    kept_trees = {config["mark"]: config["tree"] for config in truth.kept_configs}
     # The oldest that the history must still hold.
-    oldest = min(kept) if len(kept) >= CONFIGS_KEPT else 0
+    oldest = min(kept_trees) if len(kept_trees) >= CONFIGS_KEPT else 0
     for change in acked:
-        if change.mark >= oldest and kept.get(change.mark) != change.tree:
+        if change.mark >= oldest and kept_trees.get(change.mark) != change.tree:
             violations.append(f"acknowledged configuration {change.mark} is not kept")
-    for mark, tree in kept.items():
+    for mark, tree in kept_trees.items():
         if mark not in acked_marks and tree not in undecided_trees:
             violations.append(
                 f"configuration {mark} is kept, though it was neither acknowledged nor of unknown outcome"
@@ -204,7 +209,7 @@
     for mark in sorted(
         {event.fields["mark"] for event in truth.engine_events if event.is_engine_call or event.what == "rejected"}
     ):
-        if mark not in acked_marks and mark not in kept and not (undecided_trees and mark < oldest):
+        if mark not in acked_marks and mark not in kept_trees and not (undecided_trees and mark < oldest):
             violations.append(f"an engine got a call under mark {mark}, which no accepted configuration has")
     return violations
 
@@ -278,10 +283,10 @@
     for event in truth.engine_events:
         if event.what != "order":
             continue
-        before = last_order.get(event.engine)
-        if before and before.fields["by"] != event.fields["by"] and event.at - before.at < 3 * SECOND:
+        previous = last_order.get(event.engine)
+        if previous and previous.fields["by"] != event.fields["by"] and event.at - previous.at < 3 * SECOND:
             violations.append(
-                f"{event.engine}: {before.fields['by']}, then {event.fields['by']} {event.at - before.at} later"
+                f"{event.engine}: {previous.fields['by']}, then {event.fields['by']} {event.at - previous.at} later"
             )
         last_order[event.engine] = event
     return violations
@@ -316,12 +321,12 @@
     """
     violations = _stream_violations(truth=truth, phrases=("Retry-After",))
     for attempt in truth.attempts:
-        frozen = [
+        suspensions = [
             1
             for edge, since, until in truth.frozen_edges
             if edge == attempt.edge and since < attempt.ended > attempt.intended < until
         ]
-        if "no outcome" in " ".join(attempt.wrong) and not frozen:
+        if "no outcome" in " ".join(attempt.wrong) and not suspensions:
             violations.append(f"{attempt.lane}/{attempt.identity}: no outcome by the horizon and three seconds")
     return violations
 
--- a/dockmux/simulator/load_measurement.py
+++ b/dockmux/simulator/load_measurement.py
@@ -47,18 +47,18 @@
         eventlet.sleep(2)
         open_loop = OpenLoopLoad(host=sim.outside, plan=plan, seed=seed)
         open_loop.run(lasts=duration, since=timedelta(), rate=lambda _: plan.perSecond * load_factor)
-        rows = [row for engine in sim.engines for row in engine.history if row["what"] == "prefilled"]
+        prefill_events = [event for engine in sim.engines for event in engine.history if event["what"] == "prefilled"]
         spans: dict[str, list[timedelta]] = {}
         for edge in plan.edges:
-            for stage, found in sim.daemons[edge["name"]].table.stages().recent.items():
-                spans.setdefault(stage, []).extend(found)
+            for stage, stage_spans in sim.daemons[edge["name"]].table.stages().recent.items():
+                spans.setdefault(stage, []).extend(stage_spans)
         answered = sum(1 for attempt in open_loop.seen if attempt.kind == "answered")
         return LoadMeasurement(
             fleet=plan.name,
             seed=seed,
             load_factor=load_factor,
             answered_per_s=answered / duration.total_seconds(),
-            prefix_hit_percent=100 * sum(row["warm"] for row in rows) // max(len(rows), 1),
+            prefix_hit_percent=100 * sum(event["warm"] for event in prefill_events) // max(len(prefill_events), 1),
             summary=summarize(seen=open_loop.seen),
-            stages={stage: quantiles(spans=found) for stage, found in spans.items()},
+            stages={stage: quantiles(spans=stage_spans) for stage, stage_spans in spans.items()},
         )
