--- a/dockmux/platform_proxy/dispatcher.py
+++ b/dockmux/platform_proxy/dispatcher.py
@@ -1,4 +1,4 @@
-"""Carries a request from admission to its end: selects engines, sends, relays the answer and retries."""
+"""Processes a request from admission to completion: selects engines, sends, relays the answer and retries."""
 
 import contextlib
 import dataclasses
@@ -107,33 +107,33 @@
                 yield Completion(kind=OutcomeKind.ANSWERED)
                 return
 
-    # Before a send.
+    # Planning a send.
 
     def _completion_before_send(self, *, record: RequestRecord, committed: bool) -> Completion | None:
         """The request's completion if it may be sent to no further engine, else None. `committed` means that the client
         has part of an answer that no other engine can continue."""
         if self._client_disconnected(record=record):
-            return Completion(kind=OutcomeKind.CLIENT_LEFT, reason="the client has disconnected")
+            return Completion(kind=OutcomeKind.CLIENT_LEFT, reason="its client has left")
         if record.may_have_run and not record.route.repeatable:
-            return Completion(kind=OutcomeKind.FAILED, reason=record.reason or "the engine's answer broke off")
+            return Completion(kind=OutcomeKind.FAILED, reason=record.reason or "the engine broke off")
         if record.may_have_run and committed:
-            return Completion(kind=OutcomeKind.FAILED, reason=record.reason or "the engine's answer broke off")
+            return Completion(kind=OutcomeKind.FAILED, reason=record.reason or "the engine broke off")
         if self._expired(record=record):
             return Completion(
-                kind=OutcomeKind.UNKNOWN if record.may_have_run else OutcomeKind.BUSY, reason="the deadline has passed"
+                kind=OutcomeKind.UNKNOWN if record.may_have_run else OutcomeKind.BUSY, reason="its time is over"
             )
         if record.sends >= record.route.max_sends:
             kind = OutcomeKind.FAILED if record.may_have_run else OutcomeKind.BUSY
-            return Completion(kind=kind, reason=record.reason or "all tries of the route are used up")
+            return Completion(kind=kind, reason=record.reason or "all its tries are used")
         return None
 
     def _plan_send(self, *, record: RequestRecord) -> SendPlan | Completion | None:
         """Selects engines and runs a separate prefill if planned; None when the selection has to be repeated."""
         pairing = self._select_engines(record=record)
         if pairing is None:
-            return Completion(kind=OutcomeKind.NO_ENGINE, reason="no engine is available")
-        if not record.may_have_run and (busy := self._overloaded(record=record, pairing=pairing)) is not None:
-            return busy
+            return Completion(kind=OutcomeKind.NO_ENGINE, reason="no engine can be used")
+        if not record.may_have_run and (refusal := self._overloaded(record=record, pairing=pairing)) is not None:
+            return refusal
         if pairing.includes(engines=record.unreachable):
             self._pause_before_retry(record=record)
             if self._expired(record=record):
@@ -154,7 +154,7 @@
                 return None
         if not self._take_retry(record=record, first=record.sends == 0):
             self._discard(kv_handle=kv_handle)
-            return Completion(kind=OutcomeKind.BUSY, reason="the retry budget is used up")
+            return Completion(kind=OutcomeKind.BUSY, reason="no extra send is left")
         return SendPlan(pairing=pairing, kv_handle=kv_handle)
 
     def _overloaded(self, *, record: RequestRecord, pairing: Pairing) -> Completion | None:
@@ -165,17 +165,15 @@
         if excess <= ZERO:
             return None
         retry_after = max(min(excess, (record.deadline - now) * MAX_RETRY_AFTER_SHARE), DEFAULT_RETRY_AFTER)
-        return Completion(
-            kind=OutcomeKind.BUSY, reason="it is not expected to finish before its deadline", retry_after=retry_after
-        )
+        return Completion(kind=OutcomeKind.BUSY, reason="it would not be answered in time", retry_after=retry_after)
 
     def _pause_before_retry(self, *, record: RequestRecord) -> None:
         """Waits with exponential backoff. An engine that refuses connections does so immediately; without the pause it
         would be tried thousands of times a second."""
         pause = min(MIN_RETRY_DELAY * 2**record.retry_pauses, MAX_RETRY_DELAY)
         record.retry_pauses = min(record.retry_pauses + 1, 8)
-        left = record.expires_at() - self.host.elapsed()
-        self.host.sleep(wait=max(min(pause, left), ZERO))
+        time_left = record.expires_at() - self.host.elapsed()
+        self.host.sleep(wait=max(min(pause, time_left), ZERO))
 
     def _expired(self, *, record: RequestRecord) -> bool:
         return self.host.elapsed() >= record.expires_at()
@@ -186,8 +184,8 @@
         return record.disconnected
 
     def _is_abandoned(self, *, record: RequestRecord) -> bool:
-        """Whether the client has disconnected or the request has expired: an answer that breaks off then, perhaps since
-        this daemon cancelled the call, is no evidence against the engine."""
+        """Whether the client has disconnected or the request has expired: an answer that then breaks off, perhaps
+        because this daemon cancelled the call, does not count as a failure of the engine."""
         return record.disconnected or self._expired(record=record)
 
     def _take_retry(self, *, record: RequestRecord, first: bool) -> bool:
@@ -205,18 +203,18 @@
         """The service's engines that may get new work: neither draining nor changing their phase."""
         now = self.host.elapsed()
         for engine, (phase, expires_at) in list(self.phase_changes.items()):
-            row = self.directory.rows.get(engine)
-            if now >= expires_at or row is None or row.phase == phase:
+            entry = self.directory.rows.get(engine)
+            if now >= expires_at or entry is None or entry.phase == phase:
                 del self.phase_changes[engine]
         return [
-            row
-            for row in self.directory.rows.values()
-            if row.service == service and not row.leaving and row.engine not in self.phase_changes
+            entry
+            for entry in self.directory.rows.values()
+            if entry.service == service and not entry.leaving and entry.engine not in self.phase_changes
         ]
 
     def _is_available(self, *, engine: EngineEntry) -> bool:
-        row = self.directory.rows.get(engine.engine)
-        return row is not None and not row.leaving and row.address == engine.address
+        entry = self.directory.rows.get(engine.engine)
+        return entry is not None and not entry.leaving and entry.address == engine.address
 
     def _select_engines(self, *, record: RequestRecord) -> Pairing | None:
         engines = self.available_engines(service=record.service)
@@ -284,7 +282,7 @@
         if kv_handle is not None:
             self.unused_kv_handles.append(kv_handle)
 
-    # A send and its answer.
+    # Sending, and relaying the answer.
 
     def _send(self, *, record: RequestRecord, relay: Relay, plan: SendPlan) -> Iterator[bytes]:
         """Sends the request and yields the client's bytes; returns whether the request is finished."""
@@ -383,8 +381,8 @@
     def _note_engine_failure(
         self, *, record: RequestRecord, engine: EngineEntry, result: Unsent | Rejected | UnknownOutcome
     ) -> None:
-        """Excludes the engine from the request's next tries, and counts the failure unless the request itself was
-        rejected or nobody waits for it any more."""
+        """Excludes the engine from the request's next sends, and counts the failure unless the request itself was
+        rejected or its client no longer waits for it."""
         record.avoid.add(engine.engine)
         if isinstance(result, Unsent):
             record.unreachable.add(engine.engine)
--- a/dockmux/simulator/day.py
+++ b/dockmux/simulator/day.py
@@ -69,17 +69,17 @@
         injector = FaultInjector(fleet=sim, seed=seed)
         injector.config_changes.append(first_change)
         open_loop = OpenLoopLoad(
-            host=sim.outside, plan=plan, seed=seed, patience=2, trees=model_variants(tree=plan.tree)
+            host=sim.outside, plan=plan, seed=seed, max_retries=2, trees=model_variants(tree=plan.tree)
         )
         started_at = sim.world.now()
         probe = ClockProbe(fleet=sim)
         eventlet.spawn(probe.run)
         load_task = eventlet.spawn(
             open_loop.run,
-            lasts=WARM_UP + duration + RECOVERY_PERIOD,
+            duration=WARM_UP + duration + RECOVERY_PERIOD,
             since=timedelta(),
             rate=injector.arrival_rate,
-            swing=injector,
+            mix_bias_source=injector,
         )
         tasks = []
         for fault in faults:
@@ -94,15 +94,15 @@
         final_fault = rng.choice(FINAL_FAULT_KINDS)
         injector.run_final(kind=final_fault, rng=rng)
         if final_fault != "none":
-            open_loop.again(lane_runs="once", most=12, since=timedelta())
+            open_loop.resend_last(run_mode="once", max_count=12, since=timedelta())
         kept_configs = _kept_configs(sim=sim)
         truth = GroundTruth(
-            attempts=open_loop.seen,
+            attempts=open_loop.attempts,
             engine_events=collect_engine_events(engines=sim.engines),
             config_changes=injector.config_changes,
             leave_notices=injector.leave_notices,
             site_by_edge={edge["name"]: edge["site"] for edge in plan.edges},
-            requests_per_second=plan.perSecond,
+            requests_per_second=plan.requests_per_second,
             repaired_at=repaired_at,
             ended_at=min(load_ended_at, started_at + WARM_UP + duration + RECOVERY_PERIOD),
             kept_configs=kept_configs,
@@ -127,7 +127,7 @@
         if failed or sim.world.crashes:
             violations["no_task_fails"] = [*failed, *sim.world.crashes]
         outcomes: dict[str, int] = {}
-        for attempt in open_loop.seen:
+        for attempt in open_loop.attempts:
             outcomes[attempt.kind] = outcomes.get(attempt.kind, 0) + 1
         log_lines = [f"{at} {name} [{log_event.number}] {text}" for at, name, log_event, text in sim.world.logged]
     return RunResult(
@@ -136,7 +136,7 @@
         faults=faults,
         violations=violations,
         outcomes=dict(sorted(outcomes.items())),
-        sent=len(open_loop.seen),
+        sent=len(open_loop.attempts),
         recovery_ms=checks.recovery_time(truth=truth) // ms(1),
         final_fault=final_fault,
         extra_percent=round(extra_shares[0] * 100, 1),
--- a/dockmux/simulator/exchanges.py
+++ b/dockmux/simulator/exchanges.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 from typing import Any
 
-from dockmux.engine_emulator import model
+from dockmux.engine_emulator import answer_model
 from dockmux.load_generator.client import Attempt, send
 from dockmux.load_generator.open_loop import OpenLoopLoad
 from dockmux.local_fleet.fleet_plan import load
@@ -140,8 +140,8 @@
         pieces = [json.loads(line) for line in lines[0] if '"text"' in line]
         resume_headers = {"Idempotency-Key": "a", "Dockmux-Resume-From": "2", "Dockmux-Resume-Of": _answer_id(lines[0])}
         transcripts = [lines[0][-1:], exchange(sim=sim, body=body, edge=1, headers=resume_headers)]
-    request = open_loop.ask(kind=sim.plan.mix[0])
-    expected = model.expected(request="ask/a", model="m", adapter=None, body=body)
+    request = open_loop.next_request(mix_entry=sim.plan.mix[0])
+    expected = answer_model.expected_answer(request="ask/a", model="m", adapter=None, body=body)
     assert request.answers and 100 < len(pieces) < 600
     assert [row["text"] for row in pieces] == expected[: len(pieces)]
     assert json.loads(transcripts[0][0])["outcome"] == "changed" and not json.loads(transcripts[0][0])["complete"]
@@ -151,9 +151,9 @@
 def test_pieces_are_streamed_as_they_are_decoded():
     with serving_fleet() as sim:
         open_loop = OpenLoopLoad(host=sim.outside, plan=sim.plan, seed=1)
-        request = open_loop.ask(kind={**sim.plan.mix[0], "pieces": [20, 20]})
+        request = open_loop.next_request(mix_entry={**sim.plan.mix[0], "pieces": [20, 20]})
         attempt = Attempt(lane=request.lane, identity=request.identity, edge=request.edge, intended=sim.world.now())
-        send(host=sim.outside, ask=request, seen=attempt, since=timedelta())
+        send(host=sim.outside, request=request, attempt=attempt, since=timedelta())
     assert attempt.kind == "answered" and attempt.ended - attempt.first >= 15 * ms(8)
 
 
@@ -210,7 +210,7 @@
     with serving_fleet() as sim:
         kind = {**sim.plan.mix[0], "pieces": [5000, 5000]}
         open_loop = OpenLoopLoad(host=sim.outside, plan=sim.plan, seed=1)
-        slow = open_loop.ask(kind=kind)
+        slow = open_loop.next_request(mix_entry=kind)
         edge = sim.daemons["edge-0"]
         with HttpClientConnection(host=sim.outside, address=sim.plan.edges[0]["http"], wait=SECOND) as stream:
             stream.connect()
@@ -220,11 +220,11 @@
             sim.outside.sleep(wait=2 * SECOND)
             others = []
             for _ in range(5):
-                request = open_loop.ask(kind=sim.plan.mix[0])
+                request = open_loop.next_request(mix_entry=sim.plan.mix[0])
                 attempt = Attempt(
                     lane=request.lane, identity=request.identity, edge=request.edge, intended=sim.world.now()
                 )
-                send(host=sim.outside, ask=request, seen=attempt, since=timedelta())
+                send(host=sim.outside, request=request, attempt=attempt, since=timedelta())
                 others.append((attempt.kind, attempt.ended - attempt.intended < SECOND))
             sim.outside.sleep(wait=30 * SECOND)
             record = edge.table.records[f"ask/{slow.identity}"]
--- a/dockmux/simulator/faults.py
+++ b/dockmux/simulator/faults.py
@@ -123,7 +123,7 @@
     active at a time (`core_fault_active`), because the fleet tolerates the loss of one core machine. `config_changes`
     records each configuration sent and its outcome, `leave_notices` the time and incarnation of each engine told to
     leave, `frozen_edges` the HTTP address and the period of each frozen edge, `repaired_at` the time of the latest
-    repair; `rate_factor` scales the arrival rate, and the load generator reads `swing`."""
+    repair; `rate_factor` scales the arrival rate, and the load generator reads `mix_bias`."""
 
     def __init__(self, *, fleet: SimFleet, seed: int) -> None:
         self.fleet = fleet
@@ -132,7 +132,7 @@
         self.config_changes: list[ConfigChange] = []
         self.leave_notices: list[tuple[timedelta, str]] = []
         self.rate_factor = 1.0
-        self.swing = ""
+        self.mix_bias = ""
         self.core_fault_active = False
         self.replacements = 0
         self.foreign_engines: list[Any] = []
@@ -148,7 +148,7 @@
 
     def arrival_rate(self, _: timedelta) -> float:
         """Returns the current arrival rate in requests per second."""
-        return self.fleet.plan.perSecond * self.rate_factor
+        return self.fleet.plan.requests_per_second * self.rate_factor
 
     def _note_repair(self) -> None:
         """Records that the machines are back; the recovery time counts from the last call."""
@@ -171,9 +171,9 @@
         self._swing(to="answers", duration=duration)
 
     def _swing(self, *, to: str, duration: timedelta) -> None:
-        self.swing = to
+        self.mix_bias = to
         self._sleep(duration)
-        self.swing = ""
+        self.mix_bias = ""
 
     # Engines.
 
@@ -201,7 +201,7 @@
         emulator = self.fleet.current_engines[engine["engine"]]
         if emulator.host.alive:
             emulator.leaving = True
-            emulator.note(what="leaving")
+            emulator.record_event(what="leaving")
             self.leave_notices.append((self.world.now(), emulator.incarnation))
 
     def _engines_rolled(self, *, rng: random.Random, duration: timedelta) -> None:
@@ -239,7 +239,7 @@
         for name in sorted(self.fleet.current_engines):
             emulator = self.fleet.current_engines[name]
             if emulator.host.alive:
-                emulator.lapse()
+                emulator.expire_kv_cache()
 
     # Processes and machines.
 
--- a/dockmux/simulator/fleet.py
+++ b/dockmux/simulator/fleet.py
@@ -169,7 +169,7 @@
 @contextmanager
 def fleet(*, plan: FleetPlan, seed: int) -> Iterator[SimFleet]:
     """Creates a simulated world with a fleet in it; no process is started yet."""
-    with World(seed=seed, link_us=plan.linkUs).open() as world:
+    with World(seed=seed, link_us=plan.link_us).open() as world:
         yield SimFleet(world=world, plan=plan)
 
 
@@ -183,9 +183,9 @@
     with fleet(plan=load(path="fleets/mini.yaml"), seed=seed) as sim:
         sim.begin()
         open_loop = OpenLoopLoad(host=sim.outside, plan=sim.plan, seed=seed)
-        request = open_loop.ask(kind=sim.plan.mix[1])
+        request = open_loop.next_request(mix_entry=sim.plan.mix[1])
         attempt = Attempt(lane=request.lane, identity=request.identity, edge=request.edge, intended=sim.world.now())
-        send(host=sim.outside, ask=request, seen=attempt, since=timedelta())
+        send(host=sim.outside, request=request, attempt=attempt, since=timedelta())
         lines = [f"{at} {name} [{log_event.number}] {text}" for at, name, log_event, text in sim.world.logged]
         lines += [str(row) for engine in sim.engines for row in engine.history]
         assert not sim.world.crashes and not [n for _, _, n, _ in sim.world.logged if n is LogEvent.TASK_FAILED]
@@ -196,4 +196,4 @@
     first = transcript(seed=5)
     assert first == transcript(seed=5)
     assert first != transcript(seed=6)
-    assert "kind='answered'" in first[-1] and "wrong=[]" in first[-1]
+    assert "kind='answered'" in first[-1] and "violations=[]" in first[-1]
