--- a/dockmux/platform_proxy/routes.py
+++ b/dockmux/platform_proxy/routes.py
@@ -30,7 +30,7 @@
     slots: int = 0
     kv_tokens: int = 0
     kv_hold_time: timedelta = timedelta(seconds=5)
-    model_swap_time: timedelta = timedelta(seconds=2)
+    phase_change_time: timedelta = timedelta(seconds=2)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
