--- a/dockmux/clock/clock.py
+++ b/dockmux/clock/clock.py
@@ -73,7 +73,7 @@
       and the correction that has not been slewed yet;
     - `correction` is the signed part of the last adopted offset that is still to be slewed;
     - `hops` is 0 exactly while this daemon is the source;
-    - `source_mark` is the mark (view number) of the permit under which the source of the current time served;
+    - `source_mark` is the view number of the lease under which the source of the current time served;
       `newest_source_mark` is the newest mark received, and samples with an older one are rejected.
     """
 
@@ -185,7 +185,7 @@
         self.hops = UNSYNCHRONIZED_HOPS
 
     def become_source(self, *, mark: int, not_before: datetime) -> None:
-        """Becomes the source under the permit `mark`.
+        """Becomes the source under the lease of view `mark`.
 
         A synchronized clock keeps its time; its error bound at the takeover becomes the dispersion, which then
         decays. An unsynchronized one starts from the host's wall clock, but no earlier than `not_before`, the
@@ -209,7 +209,7 @@
         self.synchronized = True
 
     def stop_being_source(self) -> None:
-        """Ends the source role, because its permit has ended. Time and dispersion stay as they are."""
+        """Ends the source role, because the daemon's lease has ended. Time and dispersion stay as they are."""
         if self.hops == 0:
             self.dispersion = self.current_dispersion()
             self.updated_at = self.host.elapsed()
--- a/dockmux/control/engine_scheduler.py
+++ b/dockmux/control/engine_scheduler.py
@@ -16,7 +16,8 @@
 from dockmux.runtime.time_units import ZERO, to_us
 
 SCHEDULING_INTERVAL = timedelta(milliseconds=500)
-# How long after the previous lease's end no engine is commanded (rule 11).
+# How long after the previous lease's end no engine is commanded: two daemons must not command the same engine at once
+# or take turns within about 3 s.
 LEASE_GRACE = timedelta(seconds=3)
 # Minimum time between two moves within a service.
 SERVICE_COOLDOWN = timedelta(seconds=8)
--- a/dockmux/engine_emulator/engine.py
+++ b/dockmux/engine_emulator/engine.py
@@ -132,7 +132,7 @@
         return exchange.reply(status=200, fields=self._status())
 
     def _order(self, *, exchange: HttpExchange, fields: dict[str, Any]) -> list[bytes]:
-        """Sets the phase. Accepts an order only while its permit is valid (`untilUs`) on this engine's clock."""
+        """Sets the phase. Accepts an order only while its lease is valid (`untilUs`) on this engine's clock."""
         late = to_us(self.host.elapsed()) > fields["untilUs"]
         if late or fields["mark"] < self.order_mark:
             self.record_event(what="order_refused", mark=fields["mark"], by=fields["by"], late=late)
--- a/dockmux/runtime/engine_connections.py
+++ b/dockmux/runtime/engine_connections.py
@@ -13,8 +13,9 @@
 from dockmux.runtime.log_events import LogEvent
 
 CONNECT_LIMIT = timedelta(milliseconds=800)
-# A request to an engine that is delayed on the network must not arrive after its configuration has been superseded
-# (rule 8). 250 ms is the time the rule leaves, and enough for one retransmission.
+# A request to an engine that is delayed on the network must not arrive after its configuration has been superseded:
+# from 250 ms after an engine has seen a newer configuration, nothing may fall back to an older one. 250 ms is also
+# enough for one retransmission.
 USER_TIMEOUT = timedelta(milliseconds=250)
 MAX_IDLE_PER_ENGINE = 8
 # How long the clock reading in an identity stays usable; two clocks drift apart by 12 ms in this time.
--- a/dockmux/runtime/log_events.py
+++ b/dockmux/runtime/log_events.py
@@ -107,7 +107,7 @@
         "{address} is not engine {engine} of {service}: {found}",
         "Correct the engine list: another engine or service answers at that address.",
     )
-    PHASE_ORDERED = (4006, "info", "engine {engine} ordered to {phase} under permit {mark}", "Nothing.")
+    PHASE_ORDERED = (4006, "info", "engine {engine} ordered to {phase} with fencing token {mark}", "Nothing.")
 
     PHASE_ORDER_FAILED = (
         4007,
--- a/dockmux/runtime/messages.py
+++ b/dockmux/runtime/messages.py
@@ -275,7 +275,7 @@
 @dataclass(frozen=True, kw_only=True)
 class NewsReply:
     """
-    ageMs is the age of the information, counted back to a tail that held a permit; heldMs is how long the replying daemon has known the newest configuration to be acknowledged.
+    ageMs is the age of the information, counted back to a tail that held a lease; heldMs is how long the replying daemon has known the newest configuration to be acknowledged.
     """
     granted: bool
     mark: int
--- a/dockmux/runtime/record_log.py
+++ b/dockmux/runtime/record_log.py
@@ -150,7 +150,7 @@
 
     def rewrite(self, *, records: Iterable[dict[str, Any]]) -> None:
         """Replaces the log's content. Other tasks run between the records, so that a long log does not delay the
-        renewal of a permit."""
+        renewal of a lease."""
         lines = []
         since_yield_bytes = 0
         for record in records:
--- a/dockmux/simulator/day.py
+++ b/dockmux/simulator/day.py
@@ -189,7 +189,7 @@
 
 
 def test_a_leg_delayed_in_the_network_does_not_reach_the_engine_after_a_configuration_change():
-    """An engine becomes unreachable while legs are in flight to it, and a configuration takes effect before it is
+    """An engine becomes unreachable while calls to it are in flight, and a configuration takes effect before it is
     reachable again."""
     result = run(plan=load(path="fleets/mini.yaml"), seed=56, count=8, only=[0, 4, 6, 7])
     assert result.violations == {}
